--- a/hollowhall/tools/scale/counted.py
+++ b/hollowhall/tools/scale/counted.py
@@ -110,8 +110,8 @@
     return {"duty": "mast", "charter": d.charter["version"]}
 
 
-def on_counts(self, *, b, k, who):
-    k(Success(value=COUNTS | moment() | duty(self) | {"lag": self.lag}))
+def on_counts(self, *, request, callback, caller):
+    callback(Success(value=COUNTS | moment() | duty(self) | {"lag": self.lag}))
 
 
 def main():
--- a/tests/platform_refusals.py
+++ b/tests/platform_refusals.py
@@ -32,13 +32,13 @@
     def refuse(self, desk):
         commit, draw = desk.commit, self.draw
 
-        async def sometimes(*, evs):
-            if evs == [["open"]] or draw.random() > self.part:
-                return await commit(events=evs)
+        async def sometimes(*, events):
+            if events == [["open"]] or draw.random() > self.part:
+                return await commit(events=events)
             how = draw.choice(("sure", "lost", "taken"))
             self.refused[how] = self.refused.get(how, 0) + 1
             if how == "taken":  # and nobody here knows
-                await commit(events=evs)
+                await commit(events=events)
             await asyncio.sleep(draw.random() * REFUSAL_S)
             desk.last_problem = draw.choice(SURE) if how == "sure" else Unsure(why="lead lost")
             return None
--- a/tests/test_platform_herds.py
+++ b/tests/test_platform_herds.py
@@ -92,13 +92,13 @@
 def test_edges_that_are_long_cold_are_seen(monkeypatch):
     take = front.Front.take
 
-    def cold(self, *, call, k):
+    def cold(self, *, call, callback):
         now = self.mast.seam.now()
         self.born = getattr(self, "born", now)
         if now - self.born < 8.0 and call.method == "POST":
-            k(Reply(status=503, body={}))
+            callback(Reply(status=503, body={}))
             return lambda: None
-        return take(self, call=call, callback=k)
+        return take(self, call=call, callback=callback)
 
     monkeypatch.setattr(front.Front, "take", cold)
     w, _, _ = play(most_edges)
@@ -113,8 +113,8 @@
 def test_successors_that_wait_for_long_leases_of_the_dead_are_seen(monkeypatch):
     store = StoreMixin.store
 
-    async def keeps(self, *, op, b, **kw):
-        return Success(value={}) if op == "revoke" else await store(self, op=op, request=b, **kw)
+    async def keeps(self, *, op, request, **kw):
+        return Success(value={}) if op == "revoke" else await store(self, op=op, request=request, **kw)
 
     monkeypatch.setattr(StoreMixin, "store", keeps)
     monkeypatch.setattr(constants, "HOLD_TTL", 9.0)
@@ -135,14 +135,14 @@
 def test_daemons_that_know_only_what_they_took_are_seen(monkeypatch):
     take = front.Front.take
 
-    def own(self, *, call, k):
+    def own(self, *, call, callback):
         mine = self.__dict__.setdefault("mine", set())
         if call.method == "POST":
             mine.add(call.path)
         if call.method == "GET" and not call.path.endswith("/") and call.path not in mine:
-            k(Reply(status=410, body={}))
+            callback(Reply(status=410, body={}))
             return lambda: None
-        return take(self, call=call, callback=k)
+        return take(self, call=call, callback=callback)
 
     monkeypatch.setattr(front.Front, "take", own)
     assert "LOST" in play(shift)[1]
