--- a/hollowhall/__init__.py
+++ b/hollowhall/__init__.py
@@ -1,3 +1,3 @@
-"""hollowhall: a cluster scheduler that sits quiet and holds firm."""
+"""hollowhall: a fault-tolerant cluster scheduler."""
 
 __version__ = "0.2.0"
--- a/hollowhall/__main__.py
+++ b/hollowhall/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m hollowhall` is the same as `hollowhall`."""
+"""Makes `python -m hollowhall` the same as the command `hollowhall`."""
 
 from .cli import main
 
--- a/hollowhall/base/__init__.py
+++ b/hollowhall/base/__init__.py
@@ -1,1 +1,1 @@
-"""The small shared part: constants, problems, seams, circuits, params, events."""
+"""Shared by all daemons: constants, failures, the runtime, RPC connections, settings and log events."""
--- a/hollowhall/base/circuit.py
+++ b/hollowhall/base/circuit.py
@@ -1,8 +1,8 @@
-"""Circuits between our processes. A circuit's first frame names version, cluster
-and sender; a mismatch ends it with a typed problem. After that come asks and
-outcomes, each with its slab slot and generation. A Link keeps one circuit to one
-address up, in one task. CircuitDown means the ask never left; Unsure and Late
-mean it may have arrived."""
+"""RPC connections between daemons. The first frame in each direction names the protocol version, the cluster
+and the sender; a mismatch closes the connection with a typed failure. After that come requests and their
+results, each with the index and generation of a slot among the pending requests. A Link keeps one connection
+to one address open, in one task. CircuitDown means that the request was never sent; Unsure and Late mean
+that it may have arrived."""
 
 import asyncio
 from functools import partial
@@ -14,161 +14,177 @@
 from .problems import Broken, CircuitDown, Full, Late, Mismatch, Unsure
 from .slab import Slab
 
-ASK, OUT = 0, 1
-OPTS = ormsgpack.OPT_NON_STR_KEYS
+ASK, RESULT = 0, 1  # kinds of frames: a request, a result
+PACK_OPTIONS = ormsgpack.OPT_NON_STR_KEYS
 
 
-def pack(x):
-    return ormsgpack.packb(x, option=OPTS)
+def pack(value):
+    return ormsgpack.packb(value, option=PACK_OPTIONS)
 
 
-def unpack(b):
-    return ormsgpack.unpackb(b, option=OPTS)
+def unpack(data):
+    return ormsgpack.unpackb(data, option=PACK_OPTIONS)
 
 
 class Circuit:
+    """An open RPC connection, which carries requests both ways."""
+
     def __init__(self, *, wire, host, peer=""):
         self.wire, self.host, self.peer = wire, host, peer
         self.slab, self.up = Slab(cap=constants.SLAB_CAP), True
-        self.heard, self.pinged, self.listening = host.seam.now(), 0.0, False
+        self.heard, self.probed, self.monitored = host.seam.now(), 0.0, False
 
     def ask(self, *, op, request, callback, wait=constants.CALL_WAIT):
-        """Sends an ask; k is called once with its outcome. Returns the slot."""
+        """Sends a request; the callback is called once with its result. Returns its slot (index, generation),
+        or None if it was not sent."""
         if not self.up:
             callback(CircuitDown(addr=self.peer))
             return None
-        s = self.slab.put(callback=callback)
-        if s is None:
+        slot = self.slab.put(callback=callback)
+        if slot is None:
             callback(Full(where="circuit", after=constants.RETRY_AFTER))
             return None
-        if not self.wire.send(pack([ASK, s[0], s[1], op, request])):
-            self.slab.take(i=s[0], g=s[1])
+        if not self.wire.send(pack([ASK, slot[0], slot[1], op, request])):
+            self.slab.take(i=slot[0], g=slot[1])
             callback(CircuitDown(addr=self.peer))
             return None
-        asyncio.get_running_loop().call_later(wait, self.lapse, s, op)
-        if not self.listening:
-            self.listening = True
+        asyncio.get_running_loop().call_later(wait, self.lapse, slot, op)
+        if not self.monitored:
+            self.monitored = True
             self.heard = self.host.seam.now()
-            asyncio.get_running_loop().call_later(constants.DEAF / 2, self.listen)
-        return s
-
-    def lapse(self, s, op):
-        k = self.slab.take(i=s[0], g=s[1])
-        if k is not None:
-            k(Late(op=op))
-
-    def listen(self):
-        """While asks are out: a circuit that says nothing is asked for a sign of life,
-        and closed when that brings none either."""
-        now, last = self.host.seam.now(), self.pinged
-        self.listening = self.up and self.slab.n > 0
-        if not self.listening:
+            asyncio.get_running_loop().call_later(constants.PROBE_TIMEOUT / 2, self.check_alive)
+        return slot
+
+    def lapse(self, slot, op):
+        """Ends a request that is still pending after its time-out."""
+        callback = self.slab.take(i=slot[0], g=slot[1])
+        if callback is not None:
+            callback(Late(op=op))
+
+    def check_alive(self):
+        """While requests are pending, probes a connection that is silent, and closes it if the probe
+        brings no answer either."""
+        now, last = self.host.seam.now(), self.probed
+        self.monitored = self.up and self.slab.n > 0
+        if not self.monitored:
             return
-        if last > self.heard and now - last >= constants.DEAF:
+        if last > self.heard and now - last >= constants.PROBE_TIMEOUT:
             self.down()
             return
-        if now - self.heard >= constants.DEAF / 2 and last <= self.heard:
-            self.pinged = now
-            self.ask(op="where", request={}, wait=constants.DEAF, callback=lambda o: None)
-        asyncio.get_running_loop().call_later(constants.DEAF / 4, self.listen)
+        if now - self.heard >= constants.PROBE_TIMEOUT / 2 and last <= self.heard:
+            self.probed = now
+            self.ask(op="where", request={}, wait=constants.PROBE_TIMEOUT, callback=lambda result: None)
+        asyncio.get_running_loop().call_later(constants.PROBE_TIMEOUT / 4, self.check_alive)
 
     async def call(self, *, op, request, wait=constants.CALL_WAIT):
-        f = asyncio.get_running_loop().create_future()
-        s = self.ask(op=op, request=request, wait=wait, callback=lambda o: f.done() or f.set_result(o))
+        """Sends a request and returns its result."""
+        future = asyncio.get_running_loop().create_future()
+        slot = self.ask(
+            op=op,
+            request=request,
+            wait=wait,
+            callback=lambda result: future.done() or future.set_result(result),
+        )
         try:
-            return await f
+            return await future
         finally:
-            if s is not None:
-                self.slab.take(i=s[0], g=s[1])
+            if slot is not None:
+                self.slab.take(i=slot[0], g=slot[1])
 
-    def reply(self, i, g, o):
+    def reply(self, index, generation, result):
         if self.up:
-            self.wire.send(pack([OUT, i, g, to_wire(o)]))
+            self.wire.send(pack([RESULT, index, generation, to_wire(result)]))
 
     async def run(self):
-        """Reads until the wire ends. The one task of this circuit."""
-        n = 0
+        """Reads until the peer closes the connection. The only task of this connection."""
+        count = 0
         try:
-            while (m := await self.wire.recv()) is not None:
-                self.heard, n = self.host.seam.now(), n + 1
-                if n % constants.FRAMES_RUN == 0:
-                    await asyncio.sleep(0)  # what is buffered here must not starve others
-                m = unpack(m)
-                if m[0] == ASK:
+            while (frame := await self.wire.recv()) is not None:
+                self.heard, count = self.host.seam.now(), count + 1
+                if count % constants.FRAMES_PER_YIELD == 0:
+                    await asyncio.sleep(0)  # frames buffered here must not starve other tasks
+                frame = unpack(frame)
+                if frame[0] == ASK:
                     self.host.serve(
-                        op=m[3], request=m[4], caller=self.peer, callback=partial(self.reply, m[1], m[2])
+                        op=frame[3],
+                        request=frame[4],
+                        caller=self.peer,
+                        callback=partial(self.reply, frame[1], frame[2]),
                     )
                 else:
-                    k = self.slab.take(i=m[1], g=m[2])
-                    if k is not None:
-                        k(from_wire(m[3]))
+                    callback = self.slab.take(i=frame[1], g=frame[2])
+                    if callback is not None:
+                        callback(from_wire(frame[3]))
         finally:
             self.down()
 
     def down(self):
+        """Closes the connection; pending requests end as Unsure."""
         if self.up:
             self.up = False
             self.wire.close()
-            for k in self.slab.drain():
-                k(Unsure(why="circuit"))
+            for callback in self.slab.drain():
+                callback(Unsure(why="circuit"))
 
 
 class Link:
-    """Keeps a circuit to one address; dials again with growing pauses."""
+    """An RPC client for one address: keeps a connection open and reconnects with growing pauses."""
 
     def __init__(self, *, host, addr):
         self.host, self.addr, self.c, self.level = host, addr, None, 0
-        self.fresh, self.closed = asyncio.Event(), False
-        self.task = host.add_future(self.keep())
+        self.connected, self.closed = asyncio.Event(), False
+        self.task = host.add_future(self.keep_connected())
 
     def close(self):
-        self.closed = True  # looked at, too: wait_for may lose a cancel
+        self.closed = True  # checked by the task as well, since wait_for may lose a cancellation
         self.task.cancel()
         if self.c is not None:
             self.c.down()
 
-    async def keep(self):
+    async def keep_connected(self):
         gap = constants.REDIAL
         while not self.closed:
-            w = None
+            wire = None
             try:
-                w = await self.host.seam.net.dial(addr=self.addr)
-                w.send(pack(self.host.hello()))
-                m = await asyncio.wait_for(w.recv(), constants.DIAL_WAIT)
-                p = check_hello(host=self.host, m=m, addr=self.addr)
+                wire = await self.host.seam.net.dial(addr=self.addr)
+                wire.send(pack(self.host.hello()))
+                first_frame = await asyncio.wait_for(wire.recv(), constants.DIAL_WAIT)
+                failure = check_hello(host=self.host, m=first_frame, addr=self.addr)
                 if self.closed:
-                    w.close()
-                elif p is not None:
-                    self.host.say(log_events.HELLO_REFUSED, addr=self.addr, problem=p)
-                    w.close()
+                    wire.close()
+                elif failure is not None:
+                    self.host.say(log_events.HELLO_REFUSED, addr=self.addr, problem=failure)
+                    wire.close()
                 else:
-                    self.level = unpack(m).get("level", 0)
-                    self.c, gap = Circuit(wire=w, host=self.host, peer=self.addr), constants.REDIAL
-                    self.fresh.set()
+                    self.level = unpack(first_frame).get("level", 0)
+                    self.c, gap = Circuit(wire=wire, host=self.host, peer=self.addr), constants.REDIAL
+                    self.connected.set()
                     await self.c.run()
             except (TimeoutError, OSError):
                 pass
             finally:
-                if w is not None:
-                    w.close()  # also one whose peer took it in and never said hello
-            self.fresh.clear()
+                if wire is not None:
+                    wire.close()  # also a connection whose peer accepted it and sent no hello
+            self.connected.clear()
             await asyncio.sleep(gap * (0.5 + self.host.seam.rng.random()))
-            gap = min(gap * 2, constants.REDIAL_MAX)
+            gap = min(gap * 2, constants.RECONNECT_DELAY_MAX)
 
     @property
     def up(self):
         return self.c is not None and self.c.up
 
     def silent(self, *, now):
-        """Whether the peer owes answers and has said nothing for a while."""
-        return self.up and self.c.slab.n > 0 and now - self.c.heard > constants.SILENT
+        """Whether the peer owes answers and has been silent for PEER_SILENT_AFTER."""
+        return self.up and self.c.slab.n > 0 and now - self.c.heard > constants.PEER_SILENT_AFTER
 
     async def call(self, *, op, request, wait=constants.CALL_WAIT):
+        """Sends a request and returns its result; CircuitDown at once while there is no connection."""
         if not self.up:
             return CircuitDown(addr=self.addr)
         return await self.c.call(op=op, request=request, wait=wait)
 
     def ask(self, *, op, request, callback, wait=constants.CALL_WAIT):
+        """Sends a request; the callback is called once with its result."""
         if not self.up:
             callback(CircuitDown(addr=self.addr))
             return
@@ -176,66 +192,67 @@
 
 
 def check_hello(*, host, m, addr=""):
-    """What is wrong with a peer's greeting, or None. `addr`: the address that was dialled; whoever
-    answers there under another one is not the peer that votes, acknowledgements and leases of
-    this connection would be counted for. Versions before 0.3 do not name theirs."""
+    """The failure of a peer's first frame `m`, or None. `addr`: the address that was dialled. A daemon that
+    answers there under another address is not the peer for which votes, acknowledgements and leases on this
+    connection would be counted. Versions before 0.3 do not send their address."""
     if m is None:
         return CircuitDown(addr="")
-    d = unpack(m)
-    wanted = [("v", constants.WIRE_V), ("cluster", host.params.cluster)]
-    if addr and "addr" in d:
+    hello = unpack(m)
+    wanted = [("v", constants.WIRE_VERSION), ("cluster", host.params.cluster)]
+    if addr and "addr" in hello:
         wanted.append(("addr", addr))
-    for f, w in wanted:
-        if d.get(f) != w:
-            return Mismatch(field=f, want=str(w), got=str(d.get(f)))
+    for field, value in wanted:
+        if hello.get(field) != value:
+            return Mismatch(field=field, want=str(value), got=str(hello.get(field)))
     return None
 
 
 class HostMixin:
-    """What a daemon needs to take circuits in and to serve the asks on them."""
+    """Accepts RPC connections for a daemon and serves the requests on them."""
 
     def hello(self):
         return {
-            "v": constants.WIRE_V,
+            "v": constants.WIRE_VERSION,
             "cluster": self.params.cluster,
             "id": self.params.id,
             "addr": self.params.addr,
             "level": constants.LEVEL,
         }
 
-    async def got(self, wire):
+    async def accept_connection(self, wire):
         try:
-            m = await asyncio.wait_for(wire.recv(), constants.DIAL_WAIT)
+            first_frame = await asyncio.wait_for(wire.recv(), constants.DIAL_WAIT)
         except TimeoutError:
-            m = None
-        if m is None:
+            first_frame = None
+        if first_frame is None:
             wire.close()
             return
         wire.send(pack(self.hello()))
-        p = check_hello(host=self, m=m)
-        if p is not None:
-            self.say(log_events.HELLO_REFUSED, addr="in", problem=p)
+        failure = check_hello(host=self, m=first_frame)
+        if failure is not None:
+            self.say(log_events.HELLO_REFUSED, addr="in", problem=failure)
             wire.close()
             return
-        c = Circuit(wire=wire, host=self, peer=unpack(m).get("id", ""))
-        self.circuits[c] = True
+        connection = Circuit(wire=wire, host=self, peer=unpack(first_frame).get("id", ""))
+        self.connections[connection] = True
         try:
-            await c.run()
+            await connection.run()
         finally:
-            self.circuits.pop(c, None)
+            self.connections.pop(connection, None)
 
     def serve(self, *, op, request, callback, caller):
+        """Passes a request to the daemon's method on_<op>, which calls the callback with a result."""
         with self.loop_time.section(op):
             self.serve_now(op=op, request=request, callback=callback, caller=caller)
 
     def serve_now(self, *, op, request, callback, caller):
-        h = getattr(self, "on_" + op, None)
-        if h is None:
+        handler = getattr(self, "on_" + op, None)
+        if handler is None:
             callback(Broken(where="serve", why="no such ask"))
             return
         try:
-            h(request=request, callback=callback, caller=caller)
-        except Exception as e:  # a broken ask must not cost the circuit's others
-            self.say(log_events.SERVE_BROKEN, op=op, problem=repr(e))
-            self.oops(e)
-            callback(Broken(where=op, why=type(e).__name__))
+            handler(request=request, callback=callback, caller=caller)
+        except Exception as error:  # must not end the other requests of the connection
+            self.say(log_events.SERVE_BROKEN, op=op, problem=repr(error))
+            self.oops(error)
+            callback(Broken(where=op, why=type(error).__name__))
--- a/hollowhall/base/daemon.py
+++ b/hollowhall/base/daemon.py
@@ -1,7 +1,7 @@
-"""What every daemon shares: a mode service with a seam, circuits in and out, and
-the store's asker. The asker follows the store's leader: a NotLeader outcome
-brings a hint, a circuit that is down sends it to the next almanac. It tries
-again only what certainly was not taken, or what may safely be asked twice."""
+"""What all daemons share: a mode service with a runtime, RPC connections both ways and a client of the store.
+The client follows the store's leader: a NotLeader failure names it, and if a connection is down the next
+store member is tried. A request is repeated only if it certainly had no effect, or if it may safely be
+applied twice."""
 
 import asyncio
 import traceback
@@ -10,7 +10,7 @@
 
 from . import constants, log_events
 from .circuit import HostMixin, Link
-from .here import Here
+from .here import LocalClient
 from .loop_time import LoopTime
 from .params import LIVE
 from .problems import (
@@ -28,204 +28,225 @@
 
 
 class StoreMixin:
-    """Asks to the store, from any daemon."""
+    """The client of the store, in any daemon."""
 
     def open_store(self):
         self.links = {}
-        self.shunned = {}  # almanac: until when others are asked first
+        self.avoided_until = {}  # store member: until when others are asked first, as it did not answer
         self.alms = getattr(self, "alms", list(self.params.seeds))
-        for a in self.alms:
-            self.link(addr=a)
+        for address in self.alms:
+            self.link(addr=address)
 
     def link(self, *, addr):
+        """The client for an address, made on first use."""
         if addr not in self.links:
-            h = self.here.get(addr)
-            self.links[addr] = Link(host=self, addr=addr) if h is None else Here(host=h, who=self.params.id)
+            host = self.here.get(addr)
+            self.links[addr] = (
+                Link(host=self, addr=addr) if host is None else LocalClient(host=host, caller=self.params.id)
+            )
         return self.links[addr]
 
     async def store(
         self, *, op, request, wait=constants.CALL_WAIT, safe=False, total=4.0, of="store", sent=lambda: None
     ):
-        """Asks the leader `of` the store or the clock. `safe` asks may be repeated
-        when unsure; others only when they certainly were not taken. `sent` is called
-        before each attempt; the answer is always that of the last one."""
-        end, n, o, unsure = self.seam.now() + total, 0, Late(op=op), False
+        """Sends a request to the leader `of` the store or the clock and returns the last attempt's result.
+        `safe` requests may be repeated if it is unknown whether they were applied; others only if they
+        certainly were not. `wait`: s, for one attempt; `total`: s, for all. `sent` is called before each
+        attempt."""
+        end, tries, result, unsure = self.seam.now() + total, 0, Late(op=op), False
         ring = self.in_order()
         while self.seam.now() < end:
-            a = self.leads[of] or ring[n % len(ring)]
-            n += 1
+            address = self.leads[of] or ring[tries % len(ring)]
+            tries += 1
             sent()
-            o = await self.link(addr=a).call(op=op, request=request, wait=wait)
-            if o.ok or not (o.taken == "no" or safe):
-                self.leads[of] = a if o.ok else ""
-                return o
-            if not isinstance(o, (NotLeader, CircuitDown, Late, Unsure, Full, Broken)):
-                return o
-            unsure = unsure or o.taken != "no"
-            h = getattr(o, "hint", "")
-            self.leads[of] = h if h and h != a else ""
+            result = await self.link(addr=address).call(op=op, request=request, wait=wait)
+            if result.ok or not (result.taken == "no" or safe):
+                self.leads[of] = address if result.ok else ""
+                return result
+            if not isinstance(result, (NotLeader, CircuitDown, Late, Unsure, Full, Broken)):
+                return result
+            unsure = unsure or result.taken != "no"
+            hint = getattr(result, "hint", "")
+            self.leads[of] = hint if hint and hint != address else ""
             if not self.leads[of]:
                 await asyncio.sleep(0.03 + 0.05 * self.seam.rng.random())
-        return Unsure(why=op) if unsure and o.taken == "no" else o
+        return Unsure(why=op) if unsure and result.taken == "no" else result
 
     def in_order(self):
-        """The almanacs in the order to be asked while no leader is known: only our own
-        process's, which learns it first, where there is one; else those that owe answers
-        and are silent come last."""
-        own, now = [a for a in self.alms if a in self.here], self.seam.now()
+        """The store members in the order in which to try them while no leader is known: only the one in this
+        process, if there is one, since it learns of a leader first; otherwise in random order, with those
+        that owe answers and are silent last."""
+        own, now = [address for address in self.alms if address in self.here], self.seam.now()
         if own:
             return own
         ring = list(self.alms)
         self.seam.rng.shuffle(ring)
-        return sorted(ring, key=lambda a: self.link(addr=a).silent(now=now))
+        return sorted(ring, key=lambda address: self.link(addr=address).silent(now=now))
 
     async def keep_lease(self, *, hold):
-        """A keep-alive of a lease: (its outcome, since when the lease counts anew, s to the next). It is
-        the start of the attempt that was answered: the store counts from that one's coming
-        or later, and an earlier attempt that was lost says nothing of it."""
+        """Sends a keep-alive for a lease. Returns (its result, the time from which the lease counts anew, s
+        until the next keep-alive). The lease counts from the start of the attempt that was answered: the
+        store counts from that attempt's arrival or later, and an earlier attempt that was lost proves
+        nothing."""
         at = [self.seam.now()]
-        o = await self.store(
+        result = await self.store(
             op="keep",
             request={"hold": hold},
             wait=constants.KEEP_WAIT,
             safe=True,
-            total=constants.KEEP_TOTAL,
+            total=constants.KEEPALIVE_TOTAL_TIMEOUT,
             sent=lambda: at.append(self.seam.now()),
         )
-        took = self.seam.now() - at[0]  # a period is from one's start to the next one's
+        took = self.seam.now() - at[0]  # the period runs from the start of one keep-alive to the next
         return (
-            o,
+            result,
             at[-1],
-            max(constants.HOLD_RETRY, constants.HOLD_KEEP - took) if o.ok else constants.HOLD_RETRY,
+            max(constants.HOLD_RETRY, constants.HOLD_KEEP - took) if result.ok else constants.HOLD_RETRY,
         )
 
     async def near(self, *, op, request, wait=constants.CALL_WAIT, at=""):
-        """Asks any almanac that is up, the one `at` first, then our own process's; for
-        long-polls, which any of them answers. Rather not one that may be `risky`."""
+        """Sends a request that any store member answers, such as a long poll, to a connected one: the member
+        `at` if possible, else the one in this process, else preferably not one that is `risky`."""
         now = self.seam.now()
-        up = [a for a in self.alms if self.link(addr=a).up]
-        up = [a for a in up if self.shunned.get(a, 0.0) < now] or up  # never our own
+        up = [address for address in self.alms if self.link(addr=address).up]
+        up = [address for address in up if self.avoided_until.get(address, 0.0) < now] or up
         if not up:
             await asyncio.sleep(constants.REDIAL)
             return Late(op=op)
-        first = [a for a in (at, *self.here) if a in up]
+        first = [address for address in (at, *self.here) if address in up]
         risky = self.risky()
-        a = first[0] if first else self.seam.rng.choice([a for a in up if a not in risky] or up)
-        o = await self.links[a].call(op=op, request=request, wait=wait)
-        if not o.ok and a not in self.here:
-            self.shunned[a] = now + constants.SHUN
-        elif o.ok and isinstance(o.value, dict) and o.value.get("lead"):
-            self.leads["store"] = o.value["lead"]
-        return o
+        chosen = (
+            first[0]
+            if first
+            else self.seam.rng.choice([address for address in up if address not in risky] or up)
+        )
+        result = await self.links[chosen].call(op=op, request=request, wait=wait)
+        if not result.ok and chosen not in self.here:  # the member in this process is never avoided
+            self.avoided_until[chosen] = now + constants.DEPRIORITIZED_FOR
+        elif result.ok and isinstance(result.value, dict) and result.value.get("lead"):
+            self.leads["store"] = result.value["lead"]
+        return result
 
     def risky(self):
-        """Almanacs whose end is the very news that a long-poll waits for: one that waits
-        there learns it last, once the circuit is found to be dead."""
+        """Store members whose failure a long poll is meant to report: a client that polls such a member
+        learns of it last, once the connection is found to be dead."""
         return {self.leads["store"]}
 
 
 class Daemon(HostMixin, StoreMixin, Service):
+    """The base class of the daemons. A role overrides `open`, `shut` and `leave`."""
+
     abstract = True
     role = ""
 
     def __init__(self, *, params, seam):
         super().__init__()
-        self.params, self.seam, self.circuits = params, seam, {}
-        self.jobs_run, self.here = [], {}  # here: daemons of this process, by address
+        self.params, self.seam, self.connections = params, seam, {}
+        self.running_tasks, self.here = [], {}  # here: daemons in this process, by address
         self.leads = {"store": "", "clock": ""}
         self.say = getattr(seam, "writer", log_events.writer)(name=f"{self.role}.{params.id}")
         self.leaving, self.failed, self.lag = False, None, 0.0
         self.felt, self.woke = seam.now(), -constants.TRACK_OLD
         self.loop_time = LoopTime(now=seam.now)
 
-    def oops(self, e):
-        self.trace = "".join(traceback.format_exception(e))
+    def oops(self, error):
+        """Keeps an exception's traceback in `trace` and logs it at debug level."""
+        self.trace = "".join(traceback.format_exception(error))
         self.log.debug("%s", self.trace)
 
-    async def watch_over(self, *, co, name):
-        """Runs a task of the daemon; if it breaks, the daemon ends with a reason."""
+    async def supervise(self, *, co, name):
+        """Runs a task of the daemon; if it fails, the daemon ends with the reason."""
         try:
             await co
         except asyncio.CancelledError:
             raise
         except GeneratorExit:
-            return  # the loop is gone, and we with it
-        except Raised as e:
-            self.must_end(e.problem)
-        except Exception as e:
-            self.oops(e)
-            self.say(log_events.TASK_CRASHED, task=name, problem=repr(e))
-            self.failed = self.failed or e
+            return  # the event loop has been closed
+        except Raised as error:
+            self.must_end(error.problem)
+        except Exception as error:
+            self.oops(error)
+            self.say(log_events.TASK_CRASHED, task=name, problem=repr(error))
+            self.failed = self.failed or error
             self.ended.set()
 
-    def must_end(self, p):
-        """The daemon may not go on, and says which problem ends it."""
+    def must_end(self, failure):
+        """Ends the daemon because of a failure, and logs it."""
         self.say(
             {NewerLevel: log_events.LEVEL_NEWER, Diverged: log_events.DIVERGED}.get(
-                type(p), log_events.DISK_FAILED
+                type(failure), log_events.DISK_FAILED
             ),
-            problem=p,
+            problem=failure,
         )
-        self.failed = self.failed or p
+        self.failed = self.failed or failure
         self.ended.set()
 
     def run_task(self, *, co, name=""):
-        f = self.add_future(self.watch_over(co=co, name=name or co.__name__))
-        self.jobs_run = [x for x in self.jobs_run if not x.done()] + [f]
-        return f
+        """Starts a task that is cancelled when the daemon stops."""
+        task = self.add_future(self.supervise(co=co, name=name or co.__name__))
+        self.running_tasks = [other for other in self.running_tasks if not other.done()] + [task]
+        return task
 
     async def on_start(self):
         self.ended = asyncio.Event()
-        self.server = await self.seam.net.listen(addr=self.params.bind or self.params.addr, got=self.got)
+        self.server = await self.seam.net.listen(
+            addr=self.params.bind or self.params.addr, got=self.accept_connection
+        )
         self.open_store()
-        self.run_task(co=self.feel(), name="feel")
+        self.run_task(co=self.measure_lag(), name="feel")
         await self.open()
         self.say(log_events.UP, role=self.role, addr=self.params.addr, zone=self.params.zone)
 
-    async def feel(self):
-        """How late the loop comes round: what a crowd, or one long step, costs all."""
-        said = -constants.SHED_SAY
+    async def measure_lag(self):
+        """Measures how late the event loop runs, under load or during one long step."""
+        logged = -constants.SHED_SAY
         while True:
-            t = self.seam.now()
-            await asyncio.sleep(constants.LAG_TICK)
+            start = self.seam.now()
+            await asyncio.sleep(constants.LAG_SAMPLE_PERIOD)
             self.felt = self.seam.now()
-            late = max(0.0, self.felt - t - constants.LAG_TICK)
+            late = max(0.0, self.felt - start - constants.LAG_SAMPLE_PERIOD)
             if late > constants.LAG_HELD:
                 self.woke = self.felt
-            self.lag = max(late, self.lag * 0.5 ** ((late + constants.LAG_TICK) / constants.LAG_HALF))
+            self.lag = max(
+                late, self.lag * 0.5 ** ((late + constants.LAG_SAMPLE_PERIOD) / constants.LAG_HALF_LIFE)
+            )
             spent = self.loop_time.take()
-            if late > constants.LAG_HELD and t - said > constants.SHED_SAY:
-                said = t
+            if late > constants.LAG_HELD and start - logged > constants.SHED_SAY:
+                logged = start
                 self.say(log_events.LOOP_HELD, ms=round(late * 1000), spent=spent)
 
     async def on_stop(self):
         self.server.close()
-        for c in list(self.circuits):
-            c.down()
+        for connection in list(self.connections):
+            connection.down()
         await self.shut()
-        for f in self.jobs_run:  # in the order they began, so that an end can be replayed
-            f.cancel()
+        for (
+            task
+        ) in self.running_tasks:  # in the order in which they started, so that a shutdown can be replayed
+            task.cancel()
         self.say(log_events.GONE, role=self.role)
 
     async def open(self):
+        """Starts what is particular to the role."""
         pass
 
     async def shut(self):
+        """Stops what is particular to the role."""
         pass
 
     async def leave(self):
-        """Graceful end, named successor first; each role adds its part."""
+        """Starts a graceful shutdown; a role hands its duties over here."""
         self.leaving = True
         self.say(log_events.LEAVING, role=self.role)
 
-    def take_params(self, p):
-        """New params after SIGHUP: what can change live does, the rest is logged."""
-        for f in p.__dataclass_fields__:
-            a, b = getattr(self.params, f), getattr(p, f)
-            if a != b and f in LIVE:
-                setattr(self.params, f, b)
-            elif a != b and f != "found":
-                self.say(log_events.PARAMS_LATER, key=f, now=a, asked=b)
+    def take_params(self, settings):
+        """Applies settings re-read on SIGHUP where they can change at run time, and logs the others."""
+        for name in settings.__dataclass_fields__:
+            old, new = getattr(self.params, name), getattr(settings, name)
+            if old != new and name in LIVE:
+                setattr(self.params, name, new)
+            elif old != new and name != "found":
+                self.say(log_events.PARAMS_LATER, key=name, now=old, asked=new)
         self.say(log_events.PARAMS_TAKEN)
 
     def on_where(self, *, request, callback, caller):
--- a/hollowhall/base/doors.py
+++ b/hollowhall/base/doors.py
@@ -1,6 +1,6 @@
-"""A door: HTTP by aiohttp in front of a `take(call, k)`. It turns an HTTP request into a
-Call and a Reply into a response, within the bounds of base/limits.py, and nothing more; in
-the simulation it is left out."""
+"""An HTTP listener on aiohttp in front of a handler `take(call=, callback=)`. It turns an HTTP request into a
+Call and the Reply into an HTTP response, within the bounds of base/limits.py. The simulation calls the
+handler directly."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -13,27 +13,31 @@
 
 @dataclass(kw_only=True)
 class Call:
-    """A request as it came over HTTP."""
+    """An HTTP request."""
 
     method: str
     path: str
     query: dict = field(default_factory=dict)
     ctype: str = "application/json"
     body: bytes = b""
-    headers: dict = field(default_factory=dict)  # names in lower case
+    headers: dict = field(default_factory=dict)  # names are in lower case
 
 
 @dataclass(kw_only=True)
 class Reply:
+    """An HTTP response. `body`: a string is sent as text, anything else as JSON, None as no body."""
+
     status: int
     body: Any = None
     headers: dict = field(default_factory=dict)
 
 
 class Door:
-    """`too_large` gives the Reply to a body over the limit in bytes that it is told; `full`
-    the one to a request for which there is no room, which comes back later. `first` says of
-    a method and a path whether such requests go first. `patience` is asked anew each time."""
+    """An HTTP listener at `addr`. `take`: handles a Call, passes a Reply to its callback and returns a
+    function that is called when the request ends. `most`: bytes, the largest body. `too_large`: the Reply to
+    a body over the limit, given in bytes; `full`: the Reply to a request refused for lack of connections or
+    memory, given which. `first`: whether requests of a method and path have priority. `patience`: a function,
+    called for each request, that returns the limits for clients."""
 
     def __init__(
         self,
@@ -51,123 +55,129 @@
         self.seam, self.addr, self.take, self.most = seam, addr, take, most
         self.too_large, self.full, self.first = too_large, full, first
         self.bounds, self.patience = bounds, patience
-        self.runner = self.server = self.kept = None
+        self.app_runner = self.server = self.kept = None
         self.inside, self.shutting = 0, False
 
     async def open(self):
         if hasattr(self.seam.net, "dial_http"):
             self.seam.net.serve_http(addr=self.addr, take=self.take)
             return
-        from aiohttp import web  # a daemon in the simulation, or without HTTP, needs none
+        from aiohttp import web  # not needed by a daemon without HTTP or in the simulation
 
         from .connections import BODY, SERVED, WAITING, Connections, Listener
 
         self.web, self.states = web, (BODY, SERVED, WAITING)
         app = web.Application(client_max_size=self.most + 1)
         app.router.add_route("*", "/{path:.*}", self.on_http, expect_handler=self.on_expect)
-        self.runner = web.AppRunner(
-            app, handler_cancellation=True, access_log=None, shutdown_timeout=constants.DOOR_WAIT
+        self.app_runner = web.AppRunner(
+            app, handler_cancellation=True, access_log=None, shutdown_timeout=constants.HTTP_SHUTDOWN_TIMEOUT
         )
-        await self.runner.setup()
-        self.kept = Connections(manager=self.runner.server, bounds=self.bounds, patience=self.patience)
+        await self.app_runner.setup()
+        self.kept = Connections(manager=self.app_runner.server, bounds=self.bounds, patience=self.patience)
         self.server = Listener(addr=split(self.addr), make=self.kept.make)
 
     async def shut(self):
-        """Takes no new connection and lets every request that has begun to come in end:
-        aiohttp drops what arrives of a body once its own shutdown has begun."""
-        if self.runner is None:
+        """Accepts no new connections and lets requests that have started to arrive finish, which aiohttp's
+        own shutdown does not: it discards the rest of a body."""
+        if self.app_runner is None:
             return
         self.shutting = True
         self.server.close()
-        end = asyncio.get_running_loop().time() + constants.DOOR_WAIT
+        end = asyncio.get_running_loop().time() + constants.HTTP_SHUTDOWN_TIMEOUT
         while self.inside and asyncio.get_running_loop().time() < end:
             await asyncio.sleep(constants.TICK / 5)
         self.kept.close()
-        await self.runner.cleanup()
+        await self.app_runner.cleanup()
 
     def limit(self):
+        """Bytes; the largest body that is accepted now."""
         return min(self.most, self.patience().body_bytes or self.most)
 
-    def refusal(self, *, q, first):
-        """The Reply to a request that is refused by its header alone; else None."""
-        if self.kept.is_turned(q.protocol):
+    def refusal(self, *, request, first):
+        """The Reply to a request that is refused before its body is read; otherwise None."""
+        if self.kept.is_over_bound(request.protocol):
             self.kept.counts["turned"] += 1
             return self.full("connections")
-        if (q.content_length or 0) > self.limit():
+        if (request.content_length or 0) > self.limit():
             return self.too_large(self.limit())
-        if not self.kept.take_bytes(n=0 if q.content_length is None else q.content_length, first=first):
+        if not self.kept.reserve_bytes(
+            count=0 if request.content_length is None else request.content_length, first=first
+        ):
             return self.full("bodies")
         return None
 
-    async def on_expect(self, q):
-        """A client that asks before it sends its body is told by on_http where it is not
-        wanted, and else to go on."""
-        first = self.first(q.method, q.path)
-        if (first or q.protocol not in self.kept.turned) and (q.content_length or 0) <= self.limit():
-            await q.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-            q.writer.output_size = 0
+    async def on_expect(self, request):
+        """Tells a client that sent Expect: 100-continue to send its body, unless on_http is going to refuse
+        it."""
+        first = self.first(request.method, request.path)
+        if (first or request.protocol not in self.kept.over_bound) and (
+            request.content_length or 0
+        ) <= self.limit():
+            await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
+            request.writer.output_size = 0
         return None
 
-    async def on_http(self, q):
+    async def on_http(self, request):
         body, served, waiting = self.states
-        c, first = q.protocol, self.first(q.method, q.path)
-        self.kept.to(c=c, state=body)
+        connection, first = request.protocol, self.first(request.method, request.path)
+        self.kept.set_state(connection=connection, state=body)
         if first:
-            self.kept.goes_first(c)
-        r = self.refusal(q=q, first=first)
-        if r is not None:
-            self.kept.to(c=c, state=waiting)
-            return self.shown(r, last=True)
-        taken = [q.content_length or 0]
-        f = asyncio.get_running_loop().create_future()
-        free = lambda: None  # noqa: E731
+            self.kept.mark_priority(connection)
+        refusal = self.refusal(request=request, first=first)
+        if refusal is not None:
+            self.kept.set_state(connection=connection, state=waiting)
+            return self.response(refusal, last=True)
+        reserved = [request.content_length or 0]
+        future = asyncio.get_running_loop().create_future()
+        release = lambda: None  # noqa: E731
         self.inside += 1
         try:
-            b = await self.read(q=q, first=first, taken=taken)
-            if isinstance(b, Reply):
-                return self.shown(b, last=True)
-            self.kept.to(c=c, state=served)
-            free = self.take(
-                callback=lambda r: f.done() or f.set_result(r),
+            content = await self.read(request=request, first=first, reserved=reserved)
+            if isinstance(content, Reply):
+                return self.response(content, last=True)
+            self.kept.set_state(connection=connection, state=served)
+            release = self.take(
+                callback=lambda reply: future.done() or future.set_result(reply),
                 call=Call(
-                    method=q.method,
-                    path=q.path,
-                    query=dict(q.query),
-                    ctype=q.content_type,
-                    body=b,
-                    headers={a.lower(): b for a, b in q.headers.items()},
+                    method=request.method,
+                    path=request.path,
+                    query=dict(request.query),
+                    ctype=request.content_type,
+                    body=content,
+                    headers={name.lower(): value for name, value in request.headers.items()},
                 ),
             )
-            return self.shown(await f)
+            return self.response(await future)
         finally:
             self.inside -= 1
-            free()
-            self.kept.bytes -= taken[0]
-            if c in self.kept.all:
-                self.kept.to(c=c, state=waiting)
-
-    async def read(self, *, q, first, taken):
-        """The body; a Reply where it turns out to be too much. taken[0]: the bytes that are
-        counted for it, as its header said at first."""
-        parts, n = [], 0
-        async for b in q.content.iter_any():
-            n += len(b)
-            if n > self.limit():
+            release()
+            self.kept.bytes -= reserved[0]
+            if connection in self.kept.all:
+                self.kept.set_state(connection=connection, state=waiting)
+
+    async def read(self, *, request, first, reserved):
+        """The body, or a Reply if it is too large. reserved[0]: the bytes reserved for it, at first the
+        length in its header; raised as more arrive."""
+        parts, count = [], 0
+        async for chunk in request.content.iter_any():
+            count += len(chunk)
+            if count > self.limit():
                 return self.too_large(self.limit())
-            if n > taken[0]:
-                if not self.kept.take_bytes(n=n - taken[0], first=first):
+            if count > reserved[0]:
+                if not self.kept.reserve_bytes(count=count - reserved[0], first=first):
                     return self.full("bodies")
-                taken[0] = n
-            parts.append(b)
+                reserved[0] = count
+            parts.append(chunk)
         return parts[0] if len(parts) == 1 else b"".join(parts)
 
-    def shown(self, r, *, last=False):
-        if r.body is None:
-            x = self.web.Response(status=r.status, headers=r.headers)
-        elif isinstance(r.body, str):
-            x = self.web.Response(status=r.status, text=r.body, headers=r.headers)
+    def response(self, reply, *, last=False):
+        """The aiohttp response for a Reply; `last`: closes the connection after it."""
+        if reply.body is None:
+            response = self.web.Response(status=reply.status, headers=reply.headers)
+        elif isinstance(reply.body, str):
+            response = self.web.Response(status=reply.status, text=reply.body, headers=reply.headers)
         else:
-            x = self.web.json_response(r.body, status=r.status, headers=r.headers)
+            response = self.web.json_response(reply.body, status=reply.status, headers=reply.headers)
         if last or self.shutting:
-            x.force_close()
-        return x
+            response.force_close()
+        return response
--- a/hollowhall/base/formats.py
+++ b/hollowhall/base/formats.py
@@ -1,34 +1,34 @@
-"""The record's rules, by format level. Copies of the record must not differ, so a value here
-never changes: another value is another level (docs/versions.md)."""
+"""The rules of the record for each format level. Replicas of the record must not differ, so a value here
+never changes: a different value is a new level (docs/versions.md)."""
 
-LEVEL = 5  # level; the highest this version knows; 0.1.0 knew 0, 0.2.0 knew 1
-LEVEL_USUAL = 2  # level; a fleet rises to this one by itself, to a later one by the param
+LEVEL = 5  # level; the highest this version supports; 0.1.0 supported 0, 0.2.0 supported 1
+LEVEL_USUAL = 2  # level; a cluster is raised to this one by itself, to a higher one by the setting `level`
 RULES = [
-    {  # table; one row of values a level
-        "readable_ms": 600_000,  # ms; an ended job stays readable ten minutes
-        "names_ms": 86_400_000,  # ms; a job's name is remembered a day for late resends
-        "names_max": 200_000,  # names; bound on that memory
-        "boots_kept": 16,  # boots of a worker remembered, so a late beat is known
-        "gone_kept": 10_000,  # workers that went, remembered with their boots
-        "rows_max": 20_000,  # rows in a charter; the stated limit
-        "lost_waits": False,  # a lost worker's legs may wait until they surely stopped
-        "gangs_last": False,  # a lasting gang is started again after a good end, too
-        "jobs_follow_place": False,  # a job belongs to the queue at its place, whatever its name
+    {  # one dict of values for each level
+        "readable_ms": 600_000,  # ms; an ended job stays readable for ten minutes
+        "names_ms": 86_400_000,  # ms; a job's name is kept for a day, to recognize late retries
+        "names_max": 200_000,  # names; most that are kept
+        "boots_kept": 16,  # boot ids of a worker, one for each start; kept to recognize late heartbeats
+        "gone_kept": 10_000,  # departed workers that are kept with their boot ids
+        "rows_max": 20_000,  # rows in a configuration
+        "lost_waits": False,  # attempts on a lost worker may wait until they have certainly stopped
+        "gangs_last": False,  # a gang that runs until stopped is restarted after a success, too
+        "jobs_follow_place": False,  # a job belongs to the queue at its path, whatever the queue's name
         "tenants": False,  # tenants have limits, keys and budgets
     }
 ]
 RULES.append(RULES[0] | {"lost_waits": True})
-RULES.append(RULES[1] | {"taken_kept": 200})  # operators' own versions remembered
+RULES.append(RULES[1] | {"taken_kept": 200})  # versions of operators' edits that are kept
 RULES.append(
     RULES[2]
     | {
-        "reserve_late_ms": 60_000,  # ms; a window may have begun so long before, for a
-        # client that means 'from now' and is sent again
-        "reserve_far_ms": 90 * 86_400_000,  # ms; a window begins at most so far ahead
-        "reserve_long_ms": 31 * 86_400_000,  # ms; and lasts no longer
-        "reservations_max": 100,  # reservations not over; each is looked at for a new one
-        "reservations_kept": 2000,  # reservations in all, released and over ones too
-        "reservation_kept_ms": 600_000,  # ms; one that is over stays readable ten minutes
+        "reserve_late_ms": 60_000,  # ms; a window may have begun this long ago: a client
+        # may retry a request for a window that starts now
+        "reserve_far_ms": 90 * 86_400_000,  # ms; a window begins at most this far ahead
+        "reserve_long_ms": 31 * 86_400_000,  # ms; longest window
+        "reservations_max": 100,  # reservations that have not ended; all are examined for a new one
+        "reservations_kept": 2000,  # reservations in all, including released and ended ones
+        "reservation_kept_ms": 600_000,  # ms; an ended one stays readable for ten minutes
     }
 )
 RULES.append(RULES[3] | {"jobs_follow_place": True, "gangs_last": True})
@@ -36,13 +36,13 @@
     RULES[4]
     | {
         "tenants": True,
-        "budget_most_ms": 6000,  # tokens; a budget, and so a burst, of three refills' time
-        "budget_rate_percent": 150,  # percents of real time; by which a budget grows at most: callers'
-        # estimates are rough, and what a tenant may run binds in any case
-        "budget_full_percent": 105,  # percents of its limit; a tenant that runs so much grows no budget
-        "budget_slope": 6,  # percents of growth that each percent below that gives
-        "budget_parts": 8,  # part of what is left that any daemon gets, whatever others ask for
-        "bucket_least_ms": 200,  # tokens; in a bucket whose tenant asks for little
+        "budget_most_ms": 6000,  # tokens; a budget, and so a burst, covers the time of three refills
+        "budget_rate_percent": 150,  # percent of real time; fastest growth of a budget: clients'
+        # estimates are rough, and the limit on running work applies in any case
+        "budget_full_percent": 105,  # percent of its limit; a tenant that runs this much gets no budget
+        "budget_slope": 6,  # percent of growth for each percent below that
+        "budget_parts": 8,  # of the remaining budget a gateway gets at least one part, whatever others ask
+        "bucket_least_ms": 200,  # tokens; in a bucket whose tenant requests little
         "loan_ms": 6000,  # ms; the term of a loan: three refills
     }
 )
--- a/hollowhall/base/here.py
+++ b/hollowhall/base/here.py
@@ -1,6 +1,5 @@
-"""A link to a daemon of the same process: requests to it are calls. What is handed over is
-not copied, so neither side may change what it was given; everything that is kept for
-longer is packed into an entry first."""
+"""An RPC client for a daemon in the same process: a request is a direct call. Arguments and results are not
+copied, so neither side may modify what it was given; whatever is kept is first packed into an entry."""
 
 import asyncio
 
@@ -8,34 +7,43 @@
 from .problems import Late
 
 
-class Here:
+class LocalClient:
+    """Has the interface of an RPC client for another process."""
+
     up, closed = True, False
 
-    def __init__(self, *, host, who):
-        self.host, self.who, self.level, self.c = host, who, constants.LEVEL, None
+    def __init__(self, *, host, caller):
+        self.host, self.caller, self.level, self.c = host, caller, constants.LEVEL, None
 
     def ask(self, *, op, request, callback, wait=constants.CALL_WAIT):
-        said = []
+        """Calls the callback once: with the result, or with Late after `wait` seconds."""
+        answered = []
 
-        def once(o):
-            if not said:
-                said.append(1)
-                t.cancel()
-                callback(o)
+        def once(result):
+            if not answered:
+                answered.append(1)
+                timer.cancel()
+                callback(result)
 
-        t = asyncio.get_running_loop().call_later(wait, lambda: once(Late(op=op)))
-        self.host.serve(op=op, request=request, callback=once, caller=self.who)
+        timer = asyncio.get_running_loop().call_later(wait, lambda: once(Late(op=op)))
+        self.host.serve(op=op, request=request, callback=once, caller=self.caller)
 
     async def call(self, *, op, request, wait=constants.CALL_WAIT):
-        f = asyncio.get_running_loop().create_future()
-        t = asyncio.get_running_loop().call_later(wait, lambda: f.done() or f.set_result(Late(op=op)))
+        """Returns the result, or Late after `wait` seconds."""
+        future = asyncio.get_running_loop().create_future()
+        timer = asyncio.get_running_loop().call_later(
+            wait, lambda: future.done() or future.set_result(Late(op=op))
+        )
         self.host.serve(
-            op=op, request=request, callback=lambda o: f.done() or f.set_result(o), caller=self.who
+            op=op,
+            request=request,
+            callback=lambda result: future.done() or future.set_result(result),
+            caller=self.caller,
         )
         try:
-            return await f
+            return await future
         finally:
-            t.cancel()
+            timer.cancel()
 
     def silent(self, *, now):
         return False
--- a/hollowhall/base/limits.py
+++ b/hollowhall/base/limits.py
@@ -1,7 +1,7 @@
-"""What a process may hold, by its params: memory and descriptors are shared out among the
-connections of its doors, the bodies of requests in flight and the record; what is left
-over is for the process itself. 0 stands for no bound. How long a door waits for a client,
-and how much it takes from one, the operator's configuration may say."""
+"""Resource limits of a process. The memory and descriptors that its settings allow are divided among the
+connections of its HTTP listeners, the bodies of requests in flight and the record; the rest is for the
+process itself. 0 means no limit. The operator's configuration may set how long a listener waits for a
+client and how much it accepts from one."""
 
 from dataclasses import dataclass, replace
 
@@ -12,9 +12,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Bounds:
-    """Of one door. `clients`: connections for whoever comes; `spare`: further ones for what
-    goes first, workers' reports and the operator's orders; `bodies`: bytes of bodies in
-    flight, and as many again for what goes first."""
+    """Bounds of one listener. `clients`: connections for any client; `spare`: further ones for requests with
+    priority, which are workers' reports and operators' requests; `bodies`: bytes of bodies in flight, and as
+    many again for requests with priority."""
 
     clients: int = 0
     spare: int = 0
@@ -23,9 +23,9 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Patience:
-    """With a client, seconds and bytes; 0 is without end. `header_s`: from a connection, or
-    from the first byte of a request, until all of its header is here; `body_s`: from there
-    until its body is; `idle_s`: between two requests."""
+    """Limits for one client, in seconds and bytes; 0 means no limit. `header_s`: from the connection or the
+    first byte of a request, until its header is complete; `body_s`: from then until its body is;
+    `idle_s`: between two requests."""
 
     header_s: float = 0.0
     body_s: float = 0.0
@@ -35,35 +35,39 @@
 
 
 def bounds_of(settings):
-    """The bounds of a daemon's door, by its settings."""
-    most, bodies = [], 0
+    """The bounds of a daemon's listener, from its settings."""
+    limits, bodies = [], 0
     if settings.descriptors:
-        most.append(
-            settings.descriptors - max(constants.FDS_OWN, int(settings.descriptors * constants.FDS_OWN_PART))
+        limits.append(
+            settings.descriptors
+            - max(constants.OWN_DESCRIPTORS, int(settings.descriptors * constants.OWN_DESCRIPTORS_FRACTION))
         )
     if settings.memory_mb:
-        most.append(int(settings.memory_mb * MB * constants.DOOR_PART) // constants.CONNECTION_BYTES)
-        bodies = int(settings.memory_mb * MB * constants.BODIES_PART)
-    n = max(constants.DOOR_LEAST, min(most)) if most else 0
-    spare = int(n * constants.DOOR_SPARE)
-    return Bounds(clients=n - spare, spare=spare, bodies=bodies)
+        limits.append(
+            int(settings.memory_mb * MB * constants.CONNECTIONS_MEMORY_FRACTION) // constants.CONNECTION_BYTES
+        )
+        bodies = int(settings.memory_mb * MB * constants.BODIES_MEMORY_FRACTION)
+    total = max(constants.DOOR_LEAST, min(limits)) if limits else 0
+    spare = int(total * constants.PRIORITY_CONNECTIONS_FRACTION)
+    return Bounds(clients=total - spare, spare=spare, bodies=bodies)
 
 
 def undivided(bounds):
-    """The bounds of a door where all who come are of one kind: nearly all for whoever comes,
-    the rest to answer those for whom there is no room."""
-    few = min(bounds.spare, max(constants.DOOR_FEW, bounds.spare // 4))
-    return replace(bounds, clients=bounds.clients + bounds.spare - few, spare=few)
+    """The bounds of a listener whose clients are all of one kind: nearly all connections are for any client,
+    the rest for answering those that are refused."""
+    reserved = min(bounds.spare, max(constants.REFUSAL_CONNECTIONS, bounds.spare // 4))
+    return replace(bounds, clients=bounds.clients + bounds.spare - reserved, spare=reserved)
 
 
 def patience_of(*, settings, limits):
-    """By the operator's `limits` (milliseconds and bytes), where these say it."""
-    bound = bool(settings.descriptors or settings.memory_mb)
-    header = limits.get("headerMs", 0) / 1000 or bound * constants.HEADER_WAIT
-    idle = limits.get("idleMs", 0) / 1000 or bound * constants.IDLE_WAIT
+    """The limits for clients: the operator's `limits` (milliseconds and bytes), or defaults for a process
+    with resource limits."""
+    limited = bool(settings.descriptors or settings.memory_mb)
+    header = limits.get("headerMs", 0) / 1000 or limited * constants.HEADER_TIMEOUT
+    idle = limits.get("idleMs", 0) / 1000 or limited * constants.IDLE_TIMEOUT
     return Patience(
         header_s=header,
-        body_s=max(header, bound * constants.BODY_WAIT),
+        body_s=max(header, limited * constants.BODY_TIMEOUT),
         idle_s=idle,
         head_bytes=limits.get("headerBytes", 0),
         body_bytes=limits.get("bodyBytes", 0),
@@ -71,5 +75,5 @@
 
 
 def record_bytes(settings):
-    """Bytes that the record may come to before new jobs are refused; 0: no bound."""
+    """Bytes; size of the record from which new jobs are refused. 0: no limit."""
     return int(settings.memory_mb * MB * constants.RECORD_PART)
--- a/hollowhall/base/loop_time.py
+++ b/hollowhall/base/loop_time.py
@@ -1,5 +1,6 @@
-"""What a daemon's event loop spends its time on, by section. All that a daemon does shares one loop, so whatever
-holds it up delays heartbeats and keep-alives too; the log line for a loop that was held up names what ran."""
+"""The time that a daemon's event loop spends in each section of code. Everything in a daemon shares one loop,
+so whatever blocks it delays heartbeats and keep-alives, too; the log line of a stalled loop names what
+ran."""
 
 from contextlib import contextmanager
 from functools import wraps
@@ -8,15 +9,15 @@
 
 
 class LoopTime:
-    """Seconds spent in named sections since they were last taken; a section within another one counts for
-    itself alone."""
+    """Seconds spent in named sections since the last `take`. The time of a nested section is not counted for
+    the section around it."""
 
     def __init__(self, *, now):
         self.now, self.spent, self.inner = now, {}, [0.0]
 
     @contextmanager
     def section(self, name):
-        """Counts what runs inside it for `name`."""
+        """A context manager that counts the time spent inside it for `name`."""
         start = self.now()
         self.inner.append(0.0)
         try:
@@ -27,20 +28,20 @@
             self.inner[-1] += whole
 
     def take(self):
-        """The sections that took most since the last call, as 'beat:310,place:120' in ms; '-' for none."""
+        """The sections that took most since the last call, in ms, as 'beat:310,place:120'; '-' for none."""
         spent, self.spent = self.spent, {}
-        most = sorted(spent.items(), key=lambda item: -item[1])[: constants.LOOP_SECTIONS]
-        return ",".join(f"{name}:{round(s * 1000)}" for name, s in most) or "-"
+        most = sorted(spent.items(), key=lambda item: -item[1])[: constants.LOOP_SECTIONS_LOGGED]
+        return ",".join(f"{name}:{round(seconds * 1000)}" for name, seconds in most) or "-"
 
 
 def in_section(name):
-    """Counts a method of a daemon for a section of its loop's time."""
+    """A decorator that counts the time of a daemon's method for the section `name`."""
 
     def wrap(method):
         @wraps(method)
         def timed(self, *args, **kw):
             loop_time = getattr(self, "loop_time", None)
-            if loop_time is None:  # a part that runs without a daemon
+            if loop_time is None:  # an object used without a daemon
                 return method(self, *args, **kw)
             with loop_time.section(name):
                 return method(self, *args, **kw)
--- a/hollowhall/base/params.py
+++ b/hollowhall/base/params.py
@@ -1,6 +1,6 @@
-"""Params of a daemon: a TOML file plus flags, checked by marshmallow before any
-socket opens. Every bad key is listed with its reason. `LIVE` names what a SIGHUP
-may change in a running daemon."""
+"""Settings of a daemon: a TOML file and command-line flags, validated by marshmallow before any socket opens.
+Every invalid key is reported with its reason. `LIVE` names the settings that SIGHUP can change in a running
+daemon."""
 
 import ipaddress
 import tomllib
@@ -15,14 +15,15 @@
 LIVE = ("log", "shed_at", "level", "reserved_percent")
 
 
-def address(s):
-    h, _, p = s.rpartition(":")
+def address(text):
+    """Validates IP:port; a host name is an error."""
+    host, _, port = text.rpartition(":")
     try:
-        ipaddress.ip_address(h)
+        ipaddress.ip_address(host)
     except ValueError:
-        raise ValidationError(f"{h!r} is not an IP number") from None
-    if not p.isdigit() or not 0 < int(p) < 65536:
-        raise ValidationError(f"{p!r} is not a port from 1 to 65535")
+        raise ValidationError(f"{host!r} is not an IP number") from None
+    if not port.isdigit() or not 0 < int(port) < 65536:
+        raise ValidationError(f"{port!r} is not a port from 1 to 65535")
 
 
 NAME = validate.Regexp(r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")
@@ -30,6 +31,8 @@
 
 @dataclass(kw_only=True)
 class Params:
+    """The settings of a daemon, with their defaults."""
+
     id: str
     addr: str
     role: str = ""
@@ -44,23 +47,25 @@
     shed_at: int = 400
     ring_files: int = constants.RING_FILES
     ring_bytes: int = constants.RING_BYTES
-    snap_every: int = constants.SNAP_EVERY
+    snap_every: int = constants.SNAPSHOT_INTERVAL_ENTRIES
     level: int = constants.LEVEL_USUAL
-    desk: str = ""  # a hall's second address
+    desk: str = ""  # address of the scheduler in a `hall`
     auto_members: bool = False
     far_times: float = 2.0
     reserved_percent: int = constants.RESERVED_PERCENT
-    hold_ms: int = constants.WORKER_HOLD_MS
+    hold_ms: int = constants.WORKER_LEASE_MS
     margin_ms: int = int(constants.WORKER_MARGIN * 1000)
     memory_mb: int = 0
     descriptors: int = 0
     join: bool = False
-    policy_off: list = field(default_factory=list)  # switches of desk/policy.py
+    policy_off: list = field(default_factory=list)  # fields of desk/policy.py that are switched off
     build: str = ""
     extra: Any = None
 
 
 class ParamsSchema(Schema):
+    """Validates settings by key, and then those that depend on the role."""
+
     id = fields.Str(required=True, validate=NAME)
     role = fields.Str(validate=validate.OneOf(["almanac", "desk", "mast", "hall"]))
     addr = fields.Str(required=True, validate=address)
@@ -89,46 +94,48 @@
     snap_every = fields.Int(strict=True, validate=validate.Range(min=20, max=1_000_000))
 
     @post_load
-    def make(self, d, **kw):
-        errs = []
-        if d.get("role") in ("almanac", "hall") and not d.get("data"):
-            errs.append(["data", "an almanac needs a data folder"])
-        if d.get("role") == "hall" and not d.get("desk"):
-            errs.append(["desk", "a hall needs an address for its desk"])
-        if d.get("role") == "mast" and not d.get("http"):
-            errs.append(["http", "a mast needs an address for HTTP"])
-        if errs:
-            raise Raised(BadParams(errors=errs))
-        return Params(**d)
+    def make(self, values, **kw):
+        errors = []
+        if values.get("role") in ("almanac", "hall") and not values.get("data"):
+            errors.append(["data", "an almanac needs a data folder"])
+        if values.get("role") == "hall" and not values.get("desk"):
+            errors.append(["desk", "a hall needs an address for its desk"])
+        if values.get("role") == "mast" and not values.get("http"):
+            errors.append(["http", "a mast needs an address for HTTP"])
+        if errors:
+            raise Raised(BadParams(errors=errors))
+        return Params(**values)
 
 
 def flat(*, e, at=""):
-    """marshmallow's nested messages as a list of [key, reason]."""
+    """marshmallow's nested messages `e` as a list of [key, reason]; `at`: the key they belong to."""
     if isinstance(e, dict):
-        return [x for a, b in e.items() for x in flat(e=b, at=f"{at}.{a}" if at else str(a))]
+        return [
+            row for key, inner in e.items() for row in flat(e=inner, at=f"{at}.{key}" if at else str(key))
+        ]
     if isinstance(e, list):
-        return [x for b in e for x in flat(e=b, at=at)]
+        return [row for inner in e for row in flat(e=inner, at=at)]
     return [[at, str(e)]]
 
 
-def check(d):
-    """Params from a dict; raises Raised(BadParams) listing every bad key."""
+def check(values):
+    """Settings from a dict; raises Raised(BadParams) that lists every invalid key."""
     try:
-        return ParamsSchema().load(d)
-    except ValidationError as e:
-        raise Raised(BadParams(errors=flat(e=e.messages))) from None
+        return ParamsSchema().load(values)
+    except ValidationError as error:
+        raise Raised(BadParams(errors=flat(e=error.messages))) from None
 
 
 def read(*, path, flags):
-    """Params from a file with flags laid over it."""
-    d = {}
+    """Settings from a TOML file and flags, which take precedence; raises Raised(BadParams)."""
+    values = {}
     if path:
         try:
-            with open(path, "rb") as f:
-                d = tomllib.load(f)
-        except OSError as e:
-            raise Raised(BadParams(errors=[["params", e.strerror]])) from None
-        except tomllib.TOMLDecodeError as e:
-            raise Raised(BadParams(errors=[["params", str(e)]])) from None
-    d.update({a: b for a, b in flags.items() if b is not None})
-    return check(d)
+            with open(path, "rb") as file:
+                values = tomllib.load(file)
+        except OSError as error:
+            raise Raised(BadParams(errors=[["params", error.strerror]])) from None
+        except tomllib.TOMLDecodeError as error:
+            raise Raised(BadParams(errors=[["params", str(error)]])) from None
+    values.update({name: value for name, value in flags.items() if value is not None})
+    return check(values)
--- a/hollowhall/base/probe.py
+++ b/hollowhall/base/probe.py
@@ -1,4 +1,4 @@
-"""One ask over one of our circuits from a tool that is no daemon."""
+"""One request over an RPC connection of its own, from a tool that is not a daemon."""
 
 import asyncio
 
@@ -10,17 +10,18 @@
 
 
 async def probe(*, addr, op, request, cluster="hollowhall", wait=2.0):
+    """Returns the result; CircuitDown if the daemon cannot be reached, Late after `wait` seconds."""
     try:
-        w = await Net().dial(addr=addr)
+        wire = await Net().dial(addr=addr)
     except (TimeoutError, OSError):
         return CircuitDown(addr=addr)
     try:
-        w.send(pack({"v": constants.WIRE_V, "cluster": cluster, "id": "probe"}))
-        w.send(pack([ASK, 0, 0, op, request]))
-        await asyncio.wait_for(w.recv(), wait)
-        m = await asyncio.wait_for(w.recv(), wait)
-        return from_wire(unpack(m)[3]) if m else CircuitDown(addr=addr)
+        wire.send(pack({"v": constants.WIRE_VERSION, "cluster": cluster, "id": "probe"}))
+        wire.send(pack([ASK, 0, 0, op, request]))
+        await asyncio.wait_for(wire.recv(), wait)
+        frame = await asyncio.wait_for(wire.recv(), wait)
+        return from_wire(unpack(frame)[3]) if frame else CircuitDown(addr=addr)
     except TimeoutError:
         return Late(op=op)
     finally:
-        w.close()
+        wire.close()
--- a/hollowhall/base/ring_place.py
+++ b/hollowhall/base/ring_place.py
@@ -1,6 +1,6 @@
-"""Heartbeats between our daemons. A daemon's watchers are the next few on a ring
-of hashed ids; every daemon works the ring out alike from the fleet view, which it
-long-polls with the version it holds. A watcher reports whom it has not heard."""
+"""Failure detection between daemons. Each daemon sends heartbeats to its watchers, the next few daemons on a
+ring of hashed ids. Every daemon computes the same ring from the fleet view, which it long-polls with the
+version it has. A watcher reports daemons that it has not heard."""
 
 import asyncio
 import hashlib
@@ -12,39 +12,47 @@
 
 
 @lru_cache(maxsize=4096)
-def place(i):
-    return hashlib.sha256(i.encode()).digest()[:8]
+def place(daemon_id):
+    """The position of an id on the ring."""
+    return hashlib.sha256(daemon_id.encode()).digest()[:8]
 
 
 class Ring:
-    """The ring of some daemons' ids, worked out once for a fleet view."""
+    """The monitoring ring of the given ids, computed once for each fleet view."""
 
     def __init__(self, *, ids):
         self.order = sorted(ids, key=place)
-        self.at = {i: n for n, i in enumerate(self.order)}
-
-    def watchers(self, i):
-        """Those who watch i, a member of the ring or not: the next few after it."""
-        n = self.at[i] + 1 if i in self.at else bisect(self.order, place(i), key=place)
-        return self.next_few(n=n, but=i)
-
-    def watched_by(self, i):
-        """Those of the ring whom i watches: the few before it, the nearest last."""
-        if i not in self.at:
+        self.at = {daemon_id: position for position, daemon_id in enumerate(self.order)}
+
+    def watchers(self, daemon_id):
+        """The ids that watch a daemon, in the ring or not: the next few after it."""
+        first = (
+            self.at[daemon_id] + 1
+            if daemon_id in self.at
+            else bisect(self.order, place(daemon_id), key=place)
+        )
+        return self.next_few(first=first, but=daemon_id)
+
+    def watched_by(self, daemon_id):
+        """The ids that a daemon watches: the few before it, the nearest last."""
+        if daemon_id not in self.at:
             return []
-        n, count = self.at[i], min(constants.WATCHERS, len(self.order) - 1)
-        return [self.order[n - k] for k in range(count, 0, -1)]
+        position, count = self.at[daemon_id], min(constants.WATCHERS, len(self.order) - 1)
+        return [self.order[position - distance] for distance in range(count, 0, -1)]
 
-    def next_few(self, *, n, but):
+    def next_few(self, *, first, but):
+        """The ids from position `first` on, as many as watch the daemon `but`."""
         size = len(self.order)
         count = min(constants.WATCHERS, size - (but in self.at))
-        return [self.order[(n + k) % size] for k in range(count)]
+        return [self.order[(first + offset) % size] for offset in range(count)]
 
 
 class MemberMixin:
+    """Registers a daemon in the store and takes part in failure detection."""
+
     def open_member(self, *, extra=None):
-        self.view, self.view_rev, self.pulses, self.mine = {}, 0, {}, {}
-        self.ring_of, self.ring_rev = Ring(ids=()), 0
+        self.view, self.view_rev, self.pulses, self.reported_suspects = {}, 0, {}, {}
+        self.monitoring_ring, self.ring_rev = Ring(ids=()), 0
         self.card = {
             "role": self.role,
             "addr": self.params.addr,
@@ -55,16 +63,16 @@
             "level": constants.LEVEL,
         }
         self.run_task(co=self.enrol(), name="enrol")
-        self.run_task(co=self.see(), name="see")
+        self.run_task(co=self.follow_daemons(), name="see")
         if self.role != "almanac":
             self.run_task(co=self.follow_almanacs(), name="almanacs")
         self.run_task(co=self.pulse(), name="pulse")
 
     async def enrol(self):
-        """Writes our card until the store holds it; again if it was replaced."""
+        """Registers this daemon in the store, and again if its entry is replaced."""
         while True:
-            e = self.view.get(self.params.id)
-            if e is None or e["boot"] != self.card["boot"]:
+            card = self.view.get(self.params.id)
+            if card is None or card["boot"] != self.card["boot"]:
                 await self.store(
                     op="txn",
                     safe=True,
@@ -73,33 +81,34 @@
             await asyncio.sleep(constants.PULSE)
 
     async def follow_almanacs(self):
-        """The store's present members; the seeds are for the start only."""
+        """Follows the store's membership; the seeds serve at the start only."""
         rev = 0
         while True:
-            o = await self.near(
+            result = await self.near(
                 op="watch", request={"p": "store/", "rev": rev}, wait=constants.WATCH_WAIT + 1
             )
-            if o.ok and o.value["news"] and o.value["rev"] > rev:
-                rev, c = o.value["rev"], o.value["kv"]["store/members"]["v"]
-                self.alms = [*c["voters"], *([c["learner"]] if c["learner"] else [])]
-                for a in c["past"]:
-                    if a in self.links:
-                        self.links.pop(a).close()
-                for a in self.alms:
-                    self.link(addr=a)
-            elif not o.ok:
+            if result.ok and result.value["news"] and result.value["rev"] > rev:
+                rev, members = result.value["rev"], result.value["kv"]["store/members"]["v"]
+                self.alms = [*members["voters"], *([members["learner"]] if members["learner"] else [])]
+                for address in members["past"]:
+                    if address in self.links:
+                        self.links.pop(address).close()
+                for address in self.alms:
+                    self.link(addr=address)
+            elif not result.ok:
                 await asyncio.sleep(constants.REDIAL)
 
-    async def see(self):
+    async def follow_daemons(self):
+        """Follows the registered daemons."""
         while True:
-            o = await self.near(
+            result = await self.near(
                 op="watch", request={"p": "member/", "rev": self.view_rev}, wait=constants.WATCH_WAIT + 1
             )
-            if o.ok and o.value["news"] and o.value["rev"] > self.view_rev:
-                self.view_rev = o.value["rev"]
-                self.view = {a.split("/", 1)[1]: e["v"] for a, e in o.value["kv"].items()}
+            if result.ok and result.value["news"] and result.value["rev"] > self.view_rev:
+                self.view_rev = result.value["rev"]
+                self.view = {key.split("/", 1)[1]: entry["v"] for key, entry in result.value["kv"].items()}
                 self.say(log_events.VIEW_NEW, rev=self.view_rev, daemons=len(self.view))
-            elif not o.ok:
+            elif not result.ok:
                 await asyncio.sleep(constants.REDIAL)
 
     def on_pulse(self, *, request, callback, caller):
@@ -107,25 +116,32 @@
         callback(Success(value={}))
 
     async def pulse(self):
-        """Beats to our watchers, and tells of those we watch and do not hear."""
+        """Sends heartbeats to the watchers of this daemon and reports the silent ones that it watches."""
         last = self.seam.now()
         while True:
             await asyncio.sleep(constants.PULSE)
             now = self.seam.now()
             if self.ring_rev != self.view_rev:
-                self.ring_of, self.ring_rev = Ring(ids=self.view), self.view_rev
-            if now - last > constants.SUSPECT:  # we slept; what we did not hear says nothing
+                self.monitoring_ring, self.ring_rev = Ring(ids=self.view), self.view_rev
+            if now - last > constants.SUSPECT:  # this process was frozen, so silence proves nothing
                 self.pulses = {}
             last = now
-            for w in self.ring_of.watchers(self.params.id):
-                a = self.view[w]["addr"]
-                self.link(addr=a).ask(op="pulse", request={"id": self.params.id}, callback=lambda o: None)
-            mine = self.ring_of.watched_by(self.params.id)
-            for i in mine:
-                self.pulses.setdefault(i, now)
-            sus = [i for i in mine if now - self.pulses[i] > constants.SUSPECT]
-            if sus or self.mine:
+            for watcher in self.monitoring_ring.watchers(self.params.id):
+                address = self.view[watcher]["addr"]
+                self.link(addr=address).ask(
+                    op="pulse", request={"id": self.params.id}, callback=lambda result: None
+                )
+            watched = self.monitoring_ring.watched_by(self.params.id)
+            for daemon_id in watched:
+                self.pulses.setdefault(daemon_id, now)
+            suspects = [
+                daemon_id for daemon_id in watched if now - self.pulses[daemon_id] > constants.SUSPECT
+            ]
+            if suspects or self.reported_suspects:
                 await self.store(
-                    op="suspect", request={"by": self.params.id, "ids": sus}, safe=True, total=constants.PULSE
+                    op="suspect",
+                    request={"by": self.params.id, "ids": suspects},
+                    safe=True,
+                    total=constants.PULSE,
                 )
-            self.mine = sus
+            self.reported_suspects = suspects
--- a/hollowhall/base/slab.py
+++ b/hollowhall/base/slab.py
@@ -1,46 +1,47 @@
-"""A slab of continuations. An ask that waits for something leaves its
-continuation in a slot; the slot's index and generation travel with the ask, so
-an outcome that comes after the slot was given up finds another generation and
-wakes nobody. The slab has a fixed size: when it is full the ask is refused."""
+"""Pending requests. The callback of a request that waits for a result is kept in a slot, and the slot's index
+and generation travel with the request. A result that arrives after the slot was released finds another
+generation and is dropped. The number of slots is fixed: when all are in use, a request is refused."""
 
 
 class Slab:
+    """A fixed number of slots for callbacks; `n` are in use."""
+
     def __init__(self, *, cap):
-        self.cap, self.ks, self.gens, self.free, self.n = cap, [], [], [], 0
+        self.cap, self.callbacks, self.gens, self.free, self.n = cap, [], [], [], 0
 
     def put(self, *, callback):
-        """Returns (index, generation), or None when there is no room."""
+        """Returns (index, generation), or None when all slots are in use."""
         if self.n >= self.cap:
             return None
         if self.free:
-            i = self.free.pop()
-            self.ks[i] = callback
+            index = self.free.pop()
+            self.callbacks[index] = callback
         else:
-            i = len(self.ks)
-            self.ks.append(callback)
+            index = len(self.callbacks)
+            self.callbacks.append(callback)
             self.gens.append(0)
         self.n += 1
-        return i, self.gens[i]
+        return index, self.gens[index]
 
     def take(self, *, i, g):
-        """The continuation, out of its slot; None if the generation moved on."""
-        if not 0 <= i < len(self.ks) or self.gens[i] != g or self.ks[i] is None:
+        """Releases slot `i` and returns its callback; None unless its generation is `g`."""
+        if not 0 <= i < len(self.callbacks) or self.gens[i] != g or self.callbacks[i] is None:
             return None
-        k, self.ks[i] = self.ks[i], None
+        callback, self.callbacks[i] = self.callbacks[i], None
         self.gens[i] += 1
         self.free.append(i)
         self.n -= 1
-        return k
+        return callback
 
     def wrap(self, *, i, g, around):
-        """Puts around(continuation) in the place of one that still waits in its slot."""
-        if 0 <= i < len(self.ks) and self.gens[i] == g and self.ks[i] is not None:
-            self.ks[i] = around(self.ks[i])
+        """Replaces the callback in slot `i` by around(callback) if its generation is `g`."""
+        if 0 <= i < len(self.callbacks) and self.gens[i] == g and self.callbacks[i] is not None:
+            self.callbacks[i] = around(self.callbacks[i])
 
     def drain(self):
-        """Every continuation left, oldest slot first; the slab is empty after."""
-        out = []
-        for i, k in enumerate(self.ks):
-            if k is not None:
-                out.append(self.take(i=i, g=self.gens[i]))
-        return out
+        """Releases all slots and returns their callbacks, in the order of the slots."""
+        callbacks = []
+        for index, callback in enumerate(self.callbacks):
+            if callback is not None:
+                callbacks.append(self.take(i=index, g=self.gens[index]))
+        return callbacks
--- a/hollowhall/cli.py
+++ b/hollowhall/cli.py
@@ -1,6 +1,5 @@
-"""The command line, with cleo. The daemons' roles are subcommands; the tools stand
-beside them. Exit codes: 0 done, 1 it ran and found something wrong, 2 bad params
-or flags, 3 damaged disk, 4 no daemon could be reached."""
+"""The command line, built with cleo. Each daemon role and each tool is a subcommand. Exit codes: 0 success,
+1 it ran and found a failure, 2 invalid settings or flags, 3 damaged disk, 4 no daemon could be reached."""
 
 import sys
 
@@ -28,7 +27,7 @@
 
 def make():
     app = Application("hollowhall", __version__)
-    for c in (
+    for command in (
         RUN
         + FLEET
         + CHECK
@@ -47,7 +46,7 @@
         + EXPERIMENT
         + EXPLAIN
     ):
-        app.add(c())
+        app.add(command())
     return app
 
 
--- a/hollowhall/hall/__init__.py
+++ b/hollowhall/hall/__init__.py
@@ -1,8 +1,8 @@
-"""hall: an almanac and a desk as two services of one process, for core machines on which
-each process costs memory, a start and hops. The two share one copy of the record: the
-almanac applies entries, the desk reads and proposes. What the desk asks of its own
-almanac is a call; all else is as in two processes, and any mixture of halls, almanacs
-and desks is one fleet."""
+"""The controller (role `hall`): a store member (`almanac`) and a scheduler (`desk`) in one process, for
+machines on which a second process would cost memory, start-up time and network hops. The two share one copy
+of the record: the store member applies entries, the scheduler reads and proposes. The scheduler's requests to
+its own store member are direct calls; everything else is as in two processes, and a cluster may mix all three
+roles."""
 
 import asyncio
 
@@ -15,13 +15,13 @@
 
 
 class HallDesk(Desk):
-    """A desk whose record is its almanac's."""
+    """A scheduler that uses the record of its store member."""
 
     def __init__(self, *, params, seam, almanac):
         self.almanac = almanac
         super().__init__(params=params, seam=seam)
         self.here = {almanac.params.addr: almanac}
-        self.loop_time = almanac.loop_time  # one loop serves both
+        self.loop_time = almanac.loop_time  # both run in one event loop
         self.leads = almanac.leads
         almanac.listeners.append(self.before)
 
@@ -31,52 +31,52 @@
 
     @record.setter
     def record(self, r):
-        pass  # the almanac's holds
+        pass  # only the store member changes its record
 
     @property
     def applied(self):
         return self.almanac.applied
 
     @applied.setter
-    def applied(self, i):
+    def applied(self, index):
         pass
 
-    def before(self, op, d):
-        """An entry is about to be applied."""
+    def before(self, op, entry):
+        """Called before the store member applies an entry."""
         if op == "turn":
-            self.note_turn(d)
+            self.note_turn(entry)
 
-    def take(self, v):
+    def take(self, value):
         pass
 
     def have(self):
-        return constants.NO_ENTRY  # no entries need to come along: they come to the almanac
+        return constants.INDEX_AFTER_ALL  # answers need no entries: the store member gets them
 
     async def tail(self):
         pass
 
-    async def tail_to(self, i, *, wait):
+    async def tail_to(self, index, *, wait):
         end = self.seam.now() + wait
-        while self.applied < i and self.seam.now() < end:
-            await asyncio.sleep(constants.APPLY_LOOK)
-        return self.applied >= i
+        while self.applied < index and self.seam.now() < end:
+            await asyncio.sleep(constants.APPLY_POLL_PERIOD)
+        return self.applied >= index
 
     async def first_go(self):
-        """The desk beside the store's leader goes first: its turns need no hop."""
-        a = self.almanac
-        if a.rank != LEADER:
+        """Lets the scheduler beside the store's leader go first: its batches need no network hop."""
+        almanac = self.almanac
+        if almanac.rank != LEADER:
             await asyncio.sleep(constants.HOLD_KEEP * (0.6 + 0.4 * self.seam.rng.random()))
 
     def can_open(self):
-        a = self.almanac
-        return not a.blank and a.params.addr in a.voters and not a.out_of_touch()
+        almanac = self.almanac
+        return not almanac.blank and almanac.params.addr in almanac.voters and not almanac.out_of_touch()
 
     def successor(self):
-        return ""  # the desk beside the store's next leader goes first by itself
+        return ""  # first_go lets the scheduler beside the store's next leader go first
 
 
 class Hall(Service):
-    """Starts and ends both; either's end is the end."""
+    """Starts and stops both; when one ends, so does the process."""
 
     abstract = False
     role = "hall"
@@ -85,7 +85,7 @@
         super().__init__()
         self.params, self.seam = params, seam
         self.store = Almanac(params=params, seam=seam)
-        two = type(params)(
+        desk_params = type(params)(
             **{
                 **params.__dict__,
                 "addr": params.desk,
@@ -95,35 +95,40 @@
                 "http": "",
             }
         )
-        self.desk = HallDesk(params=two, seam=seam, almanac=self.store)
+        self.desk = HallDesk(params=desk_params, seam=seam, almanac=self.store)
         self.say, self.ended = self.store.say, asyncio.Event()
 
     async def on_start(self):
-        for d in (self.store, self.desk):
-            await d.start()
-            self.add_future(self.watch(d))
+        for daemon in (self.store, self.desk):
+            await daemon.start()
+            self.add_future(self.watch(daemon))
 
-    async def watch(self, d):
-        await d.ended.wait()
+    async def watch(self, daemon):
+        await daemon.ended.wait()
         self.ended.set()
 
     async def leave(self):
-        """The desk first, so that its successor finds the clock and the store at work."""
+        """Shuts the scheduler down first, so that its successor finds the clock and the store running."""
         await self.desk.leave()
         await self.store.leave()
 
     async def on_stop(self):
-        for d in (self.desk, self.store):
-            await d.stop()
+        for daemon in (self.desk, self.store):
+            await daemon.stop()
 
     @property
     def failed(self):
         return self.store.failed or self.desk.failed
 
-    def take_params(self, p):
-        self.store.take_params(p)
+    def take_params(self, settings):
+        self.store.take_params(settings)
         self.desk.take_params(
-            type(p)(
-                **{**p.__dict__, "addr": self.desk.params.addr, "id": self.desk.params.id, "role": "desk"}
+            type(settings)(
+                **{
+                    **settings.__dict__,
+                    "addr": self.desk.params.addr,
+                    "id": self.desk.params.id,
+                    "role": "desk",
+                }
             )
         )
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,6 +1,6 @@
-"""The bounds of a door, reached on loopback: more connections than it keeps, slow clients,
-and more bytes of bodies than it holds. Reports go through all the while, whoever is refused
-hears so at once and when to come back, and nobody is left hanging. Waits are on answers."""
+"""The bounds of an HTTP listener on loopback: more connections than it hold, slow clients, and more bytes of
+bodies than it holds. Meanwhile worker reports are served; a refused client is told at once, with a
+Retry-After, and none is left without an answer. The tests wait for answers, not for times."""
 
 import asyncio
 import contextlib
@@ -21,18 +21,18 @@
     "http": "127.0.0.1:7002",
     "seeds": ["127.0.0.1:7101"],
 }
-HALF = b"GET /v1/jobs HTTP/1.1\r\nHost: h\r\nX-Slow: "  # of a header, and no more
-WHOLE = b"GET /v1/jobs HTTP/1.1\r\nHost: h\r\n\r\n"
+HALF_HEADER = b"GET /v1/jobs HTTP/1.1\r\nHost: h\r\nX-Slow: "  # an incomplete header
+REQUEST = b"GET /v1/jobs HTTP/1.1\r\nHost: h\r\n\r\n"
 
 
 @contextlib.asynccontextmanager
-async def door(*, take=None, **kw):
-    def answer(*, call, k):
-        k(Reply(status=200, body={"n": len(call.body)}))
+async def open_listener(*, take=None, **settings):
+    def answer(*, call, callback):
+        callback(Reply(status=200, body={"n": len(call.body)}))
         return lambda: None
 
-    kw = {"bounds": Bounds(), "patience": Patience} | kw
-    d = Door(
+    settings = {"bounds": Bounds(), "patience": Patience} | settings
+    listener = Door(
         seam=Seam(),
         addr=f"127.0.0.1:{free_ports(1)[0]}",
         take=take or answer,
@@ -40,203 +40,217 @@
         first=lambda method, path: path.startswith("/v1/workers"),
         too_large=lambda n: Reply(status=413, body={"limit": n}),
         full=lambda x: Reply(status=503, body={"where": x}, headers={"Retry-After": "1"}),
-        **kw,
+        **settings,
     )
-    await d.open()
+    await listener.open()
     try:
-        yield d
+        yield listener
     finally:
-        await d.shut()
+        await listener.shut()
 
 
-async def client(d, text):
-    r, w = await asyncio.open_connection(*d.addr.split(":"))
-    w.write(text)
-    return r, w
+async def connect(listener, text):
+    reader, writer = await asyncio.open_connection(*listener.addr.split(":"))
+    writer.write(text)
+    return reader, writer
 
 
-async def report(s, d, body=b"x" * 2000):
-    t = asyncio.get_running_loop().time()
-    async with s.post(f"http://{d.addr}/v1/workers/w1/beat", data=body) as x:
-        return x.status, asyncio.get_running_loop().time() - t
+async def report(session, listener, body=b"x" * 2000):
+    start = asyncio.get_running_loop().time()
+    async with session.post(f"http://{listener.addr}/v1/workers/w1/beat", data=body) as response:
+        return response.status, asyncio.get_running_loop().time() - start
 
 
-async def reply(r):
-    """(status, headers), or None of a connection that was closed without one."""
+async def reply(reader):
+    """(status, headers) of the next answer, or None if the connection was closed without one."""
     try:
-        x = (await r.readuntil(b"\r\n\r\n")).decode().split("\r\n")
+        lines = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     except (asyncio.IncompleteReadError, ConnectionError):
         return None
-    return int(x[0].split()[1]), dict(a.lower().split(": ", 1) for a in x[1:] if a)
+    return int(lines[0].split()[1]), dict(line.lower().split(": ", 1) for line in lines[1:] if line)
 
 
-def go(scene):
-    asyncio.run(asyncio.wait_for(scene(), 30))
+def run(scenario):
+    asyncio.run(asyncio.wait_for(scenario(), 30))
 
 
 def flood(**kw):
-    """300 slow clients at a door for 75 and 25 more, and a report after every ten of them:
-    (the most connections held, (status, seconds) of the reports, what became of all)."""
-    out = {}
-
-    async def scene():
-        async with door(bounds=Bounds(clients=75, spare=25), **kw) as d, aiohttp.ClientSession() as s:
-            most, reports, conns = 0, [], []
-            for n in range(300):
-                conns.append(await client(d, HALF))
-                if n % 10 == 9:
-                    reports.append(await report(s, d))
-                most = max(most, len(d.kept.all))
-            for _, w in conns:
+    """300 slow clients of a listener for 75 connections and 25 with priority, and a report after every ten of
+    them. Returns the most connections held, (status, seconds) of the reports, the clients' answers, and the
+    bytes of bodies left at the end."""
+    seen = {}
+
+    async def scenario():
+        async with (
+            open_listener(bounds=Bounds(clients=75, spare=25), **kw) as listener,
+            aiohttp.ClientSession() as session,
+        ):
+            most, reports, clients = 0, [], []
+            for number in range(300):
+                clients.append(await connect(listener, HALF_HEADER))
+                if number % 10 == 9:
+                    reports.append(await report(session, listener))
+                most = max(most, len(listener.kept.all))
+            for _, writer in clients:
                 with contextlib.suppress(ConnectionError):
-                    w.write(b"1\r\n\r\n")
-            got = await asyncio.gather(*(reply(r) for r, _ in conns))
-            out.update(most=most, reports=reports, got=got, left=d.kept.bytes)
-            for _, w in conns:
-                w.close()
+                    writer.write(b"1\r\n\r\n")
+            answers = await asyncio.gather(*(reply(reader) for reader, _ in clients))
+            seen.update(most=most, reports=reports, got=answers, left=listener.kept.bytes)
+            for _, writer in clients:
+                writer.close()
 
-    go(scene)
-    return out
+    run(scenario)
+    return seen
 
 
 def test_slow_clients_beyond_the_bound_cost_no_report():
-    x = flood()
-    assert x["most"] <= 100 and x["left"] == 0
-    assert {st for st, _ in x["reports"]} == {200} and max(t for _, t in x["reports"]) < 2
-    got = x["got"]  # each was served, refused with a time to come back, or closed
-    assert sum(g is not None and g[0] == 200 for g in got) >= 60
-    refused = [g for g in got if g is not None and g[0] != 200]
+    seen = flood()
+    assert seen["most"] <= 100 and seen["left"] == 0
+    assert {status for status, _ in seen["reports"]} == {200} and max(
+        seconds for _, seconds in seen["reports"]
+    ) < 2
+    answers = seen["got"]  # each was served, refused with a Retry-After, or closed
+    assert sum(answer is not None and answer[0] == 200 for answer in answers) >= 60
+    refused = [answer for answer in answers if answer is not None and answer[0] != 200]
     assert refused and all(
-        g[0] == 503 and g[1]["retry-after"] == "1" and g[1]["connection"] == "close" for g in refused
+        answer[0] == 503 and answer[1]["retry-after"] == "1" and answer[1]["connection"] == "close"
+        for answer in refused
     )
 
 
-def test_the_version_that_keeps_all_is_told_apart(monkeypatch):
+def test_a_listener_without_bounds_is_detected(monkeypatch):
     monkeypatch.setattr(
         connections.Connections,
-        "came",
-        lambda self, c: (self.all.setdefault(c, True), self.to(c=c, state="waiting")),
+        "added",
+        lambda self, connection: (
+            self.all.setdefault(connection, True),
+            self.set_state(connection=connection, state="waiting"),
+        ),
     )
     assert flood()["most"] > 250
 
 
 def test_a_connection_that_is_quiet_makes_room_for_a_new_one(monkeypatch):
-    monkeypatch.setattr(connections.C, "IDLE_LEAST", 0.0)
+    monkeypatch.setattr(connections.constants, "IDLE_MIN", 0.0)
 
-    async def scene():
-        async with door(bounds=Bounds(clients=4, spare=2)) as d:
-            old = [await client(d, WHOLE) for _ in range(4)]
-            assert [(await reply(r))[0] for r, _ in old] == [200] * 4
-            new = [await client(d, WHOLE) for _ in range(2)]
-            assert [(await reply(r))[0] for r, _ in new] == [200] * 2
-            for n, (r, w) in enumerate(old):  # the two that were quiet for longest are gone
-                await r.readexactly(8)  # {"n": 0}
-                if n >= 2:
-                    w.write(WHOLE)
-                assert (await reply(r) is None) == (n < 2)
-            assert d.kept.counts["dropped"] == 2 and len(d.kept.all) == 4
+    async def scenario():
+        async with open_listener(bounds=Bounds(clients=4, spare=2)) as listener:
+            old = [await connect(listener, REQUEST) for _ in range(4)]
+            assert [(await reply(reader))[0] for reader, _ in old] == [200] * 4
+            new = [await connect(listener, REQUEST) for _ in range(2)]
+            assert [(await reply(reader))[0] for reader, _ in new] == [200] * 2
+            for number, (reader, writer) in enumerate(old):  # the two that were idle the longest are closed
+                await reader.readexactly(8)  # {"n": 0}
+                if number >= 2:
+                    writer.write(REQUEST)
+                assert (await reply(reader) is None) == (number < 2)
+            assert listener.kept.counts["dropped"] == 2 and len(listener.kept.all) == 4
 
-    go(scene)
+    run(scenario)
 
 
 @pytest.mark.parametrize(
     "text, patience",
     [
         (b"", Patience(idle_s=0.1)),
-        (HALF, Patience(header_s=0.1)),
+        (HALF_HEADER, Patience(header_s=0.1)),
         (b"POST /v1/jobs HTTP/1.1\r\nHost: h\r\nContent-Length: 99\r\n\r\nx", Patience(body_s=0.1)),
-        (HALF + b"x" * 3000, Patience(head_bytes=2000)),
+        (HALF_HEADER + b"x" * 3000, Patience(head_bytes=2000)),
     ],
 )
-def test_who_keeps_the_door_waiting_is_closed(text, patience):
-    async def scene():
-        async with door(patience=lambda: patience) as d:
-            r, w = await client(d, text)
-            assert await reply(r) is None and d.kept.counts["late"] == 1
-            w.close()
-            assert d.kept.bytes == 0 and not d.kept.all
+def test_slow_and_idle_clients_are_closed(text, patience):
+    async def scenario():
+        async with open_listener(patience=lambda: patience) as listener:
+            reader, writer = await connect(listener, text)
+            assert await reply(reader) is None and listener.kept.counts["late"] == 1
+            writer.close()
+            assert listener.kept.bytes == 0 and not listener.kept.all
 
-    go(scene)
+    run(scenario)
 
 
-def head(n, path="/v1/jobs"):
-    return f"POST {path} HTTP/1.1\r\nHost: h\r\nContent-Length: {n}\r\n\r\n".encode()
+def head(length, path="/v1/jobs"):
+    return f"POST {path} HTTP/1.1\r\nHost: h\r\nContent-Length: {length}\r\n\r\n".encode()
 
 
 def test_bodies_in_flight_are_bounded_and_refused_by_their_header():
-    held = []
+    callbacks = []
 
-    def keeps(*, call, k):
+    def hold(*, call, callback):
         if call.path.startswith("/v1/workers"):
-            k(Reply(status=200, body={}))
+            callback(Reply(status=200, body={}))
         else:
-            held.append(k)
+            callbacks.append(callback)
         return lambda: None
 
-    async def scene():
-        async with door(take=keeps, bounds=Bounds(bodies=300_000)) as d, aiohttp.ClientSession() as s:
-            conns = [await client(d, head(100_000) + b"x" * 100_000) for _ in range(3)]
-            while len(held) < 3:
+    async def scenario():
+        async with (
+            open_listener(take=hold, bounds=Bounds(bodies=300_000)) as listener,
+            aiohttp.ClientSession() as session,
+        ):
+            clients = [await connect(listener, head(100_000) + b"x" * 100_000) for _ in range(3)]
+            while len(callbacks) < 3:
                 await asyncio.sleep(0)
-            assert d.kept.bytes == 300_000
-            for _ in range(20):  # told by the header alone: no body was sent
-                r, w = await client(d, head(100_000))
-                st, h = await reply(r)
-                assert (st, h["retry-after"], h["connection"]) == (503, "1", "close")
-                w.close()
-            r, w = await client(
-                d, b"POST /v1/jobs HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nxxxxx\r\n"
+            assert listener.kept.bytes == 300_000
+            for _ in range(20):  # refused by the header: no body was sent
+                reader, writer = await connect(listener, head(100_000))
+                status, headers = await reply(reader)
+                assert (status, headers["retry-after"], headers["connection"]) == (503, "1", "close")
+                writer.close()
+            reader, writer = await connect(
+                listener,
+                b"POST /v1/jobs HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nxxxxx\r\n",
             )
-            assert (await reply(r))[0] == 503  # its header says nothing
-            w.close()
-            r, w = await client(d, head(2 << 20))
-            assert (await reply(r))[0] == 413
-            w.close()
-            assert (await report(s, d, body=b"x" * 200_000))[0] == 200
-            for k in held:
-                k(Reply(status=200, body={}))
-            assert [(await reply(r))[0] for r, _ in conns] == [200] * 3
-            for _, w in conns:
-                w.close()
-            r, w = await client(d, head(100_000) + b"x" * 100_000)
-            while len(held) < 4:
+            assert (await reply(reader))[0] == 503  # its header gives no length
+            writer.close()
+            reader, writer = await connect(listener, head(2 << 20))
+            assert (await reply(reader))[0] == 413
+            writer.close()
+            assert (await report(session, listener, body=b"x" * 200_000))[0] == 200
+            for answer in callbacks:
+                answer(Reply(status=200, body={}))
+            assert [(await reply(reader))[0] for reader, _ in clients] == [200] * 3
+            for _, writer in clients:
+                writer.close()
+            reader, writer = await connect(listener, head(100_000) + b"x" * 100_000)
+            while len(callbacks) < 4:
                 await asyncio.sleep(0)
-            w.close()  # a client that goes away gives its room back
-            while d.kept.bytes:
+            writer.close()  # a client that disconnects releases its memory
+            while listener.kept.bytes:
                 await asyncio.sleep(0)
 
-    go(scene)
+    run(scenario)
 
 
 def test_a_connection_that_was_let_go_is_not_kept_again():
-    """Its handler may have been about to begin."""
+    """A handler that starts after its connection was closed must not register the connection again."""
 
-    async def scene():
-        async with door(patience=lambda: Patience(body_s=0.1)) as d:
-            r, w = await client(d, b"")
-            while not d.kept.all:
+    async def scenario():
+        async with open_listener(patience=lambda: Patience(body_s=0.1)) as listener:
+            reader, writer = await connect(listener, b"")
+            while not listener.kept.all:
                 await asyncio.sleep(0)
-            c = next(iter(d.kept.all))
-            d.kept.let_go(c=c, why="dropped")
+            connection = next(iter(listener.kept.all))
+            listener.kept.evict(connection=connection, why="dropped")
             for state in (connections.BODY, connections.HEAD, connections.WAITING):
-                d.kept.to(c=c, state=state)
-            assert not any(d.kept.slow.values()) and await reply(r) is None
-            w.close()
+                listener.kept.set_state(connection=connection, state=state)
+            assert not any(listener.kept.by_state.values()) and await reply(reader) is None
+            writer.close()
 
-    go(scene)
+    run(scenario)
 
 
 def test_a_client_that_asks_before_it_sends_is_told():
-    async def scene():
-        ask = head(9)[:-2] + b"Expect: 100-continue\r\n\r\n"
-        async with door(bounds=Bounds(bodies=10)) as d:
-            r, w = await client(d, ask)
-            assert (await reply(r))[0] == 100
-            w.write(b"x" * 9)
-            assert (await reply(r))[0] == 200
-            w.close()
-            r, w = await client(d, ask.replace(b" 9\r", b" 9999999\r"))
-            assert (await reply(r))[0] == 413
-            w.close()
-
-    go(scene)
+    async def scenario():
+        request = head(9)[:-2] + b"Expect: 100-continue\r\n\r\n"
+        async with open_listener(bounds=Bounds(bodies=10)) as listener:
+            reader, writer = await connect(listener, request)
+            assert (await reply(reader))[0] == 100
+            writer.write(b"x" * 9)
+            assert (await reply(reader))[0] == 200
+            writer.close()
+            reader, writer = await connect(listener, request.replace(b" 9\r", b" 9999999\r"))
+            assert (await reply(reader))[0] == 413
+            writer.close()
+
+    run(scenario)
