--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,5 +1,5 @@
-"""The events in the code and their catalogue in the docs are the same, and every
-constant states its unit and reason."""
+"""The log events in the code and in docs/events.md are the same, every constant has a comment with its unit,
+and modules and pages are small."""
 
 import ast
 import pathlib
@@ -10,34 +10,34 @@
 ROOT = pathlib.Path(__file__).parent.parent
 
 
-def test_the_catalogue_is_the_code():
+def test_the_page_of_events_matches_the_code():
     text = (ROOT / "docs/events.md").read_text()
     rows = dict(re.findall(r"^\| HH(\d+) \| \w+ \| ([^|]+?) \|", text, re.M))
-    assert rows == {str(n): e.text for n, e in log_events.ALL.items()}
+    assert rows == {str(number): event.text for number, event in log_events.ALL.items()}
 
 
 def test_every_event_is_used():
-    names = {a for a, e in vars(log_events).items() if isinstance(e, log_events.Event)}
-    code = "".join(p.read_text() for p in (ROOT / "hollowhall").rglob("*.py"))
-    assert [a for a in sorted(names) if f"log_events.{a}" not in code] == []
+    names = {name for name, event in vars(log_events).items() if isinstance(event, log_events.Event)}
+    code = "".join(path.read_text() for path in (ROOT / "hollowhall").rglob("*.py"))
+    assert [name for name in sorted(names) if f"log_events.{name}" not in code] == []
 
 
 def test_constants_have_unit_and_reason():
     files = [ROOT / "hollowhall/base" / name for name in ("constants.py", "scheduling.py")]
     lines = [line for path in files for line in path.read_text().splitlines()]
-    bare = [x for x in lines if re.match(r"^[A-Z_]+ = ", x) and "#" not in x]
+    bare = [text for text in lines if re.match(r"^[A-Z_]+ = ", text) and "#" not in text]
     assert bare == ["MAX_LOGICAL = 1 << LOGICAL_BITS"]
 
 
-MODULE_STATEMENTS = 200  # statements of one module, docstrings set aside
+MODULE_STATEMENTS = 200  # statements of one module, docstrings not counted
 MODULE_LINES = 400  # lines of one module, comments, docstrings and blank lines included
 PAGE_LINES = 250  # lines of one page
 
 
 def statements(text):
-    """Statements of a module at any depth, docstrings set aside."""
+    """Statements of a module at any depth, docstrings not counted."""
     nodes = [node for node in ast.walk(ast.parse(text)) if isinstance(node, ast.stmt)]
-    return sum(not (isinstance(n, ast.Expr) and isinstance(n.value, ast.Constant)) for n in nodes)
+    return sum(not (isinstance(found, ast.Expr) and isinstance(found.value, ast.Constant)) for found in nodes)
 
 
 def too_large(path, text):
@@ -48,8 +48,12 @@
 
 
 def test_modules_and_pages_are_small():
-    files = [p for d in ("hollowhall", "platform", "tests", "docs") for p in (ROOT / d).rglob("*")]
-    large = [str(p) for p in files if p.suffix in (".py", ".md") and too_large(p, p.read_text())]
+    files = [
+        path for folder in ("hollowhall", "platform", "tests", "docs") for path in (ROOT / folder).rglob("*")
+    ]
+    large = [
+        str(path) for path in files if path.suffix in (".py", ".md") and too_large(path, path.read_text())
+    ]
     assert large == []
 
 
--- a/tests/test_hall.py
+++ b/tests/test_hall.py
@@ -1,6 +1,6 @@
-"""Halls (almanac and desk as one process) in the simulation: founding on three seeds, others
-joining by themselves, a member gone for good replaced by a blank one, everything killed at
-once, a member cut off that must not tell old news, a desk that is behind."""
+"""Controllers (role `hall`: store member and scheduler in one process) in the simulation: bootstrap on three
+seeds, others that join by themselves, a lost member replaced by an empty one, all killed at once, a member
+that is cut off and must not answer polls with old data, a scheduler that lags."""
 
 import asyncio
 
@@ -18,6 +18,8 @@
 
 
 class Halls(World):
+    """A simulated cluster of n controllers, of which the first three bootstrap, and a gateway."""
+
     def __init__(self, *, seed, n=5, **kw):
         super().__init__(
             seed=seed,
@@ -28,177 +30,194 @@
             build=ROLES | {"hall": Hall, "mast": Mast},
             params={"auto_members": True},
         )
-        self.seeds = [f"10.0.0.{i + 1}:7000" for i in range(min(3, n))]
+        self.seeds = [f"10.0.0.{index + 1}:7000" for index in range(min(3, n))]
         self.cards["mast-1"]["seeds"] = list(self.seeds)
-        for i in range(n):
-            self.add_hall(i + 1, found=i < 3)
+        for index in range(n):
+            self.add_hall(index + 1, found=index < 3)
 
-    def add_hall(self, i, *, found=False):
-        name, addr = f"hall-{i}", f"10.0.0.{i}:7000"
+    def add_hall(self, number, *, found=False):
+        name, addr = f"hall-{number}", f"10.0.0.{number}:7000"
         self.add_card(
             name,
             "hall",
-            f"core-{i}",
+            f"core-{number}",
             addr,
-            zone=i,
+            zone=number,
             found=found,
             data="/d",
-            desk=f"10.0.0.{i}:7001",
+            desk=f"10.0.0.{number}:7001",
             ring_files=4,
             snap_every=60,
         )
-        self.net.home[f"10.0.0.{i}:7001"] = f"core-{i}"
-        if f"core-{i}" not in self.disks:
+        self.net.home[f"10.0.0.{number}:7001"] = f"core-{number}"
+        if f"core-{number}" not in self.disks:
             from hollowhall.sim.disk import SimDisk
 
-            self.disks[f"core-{i}"] = SimDisk(rng=self.rng)
+            self.disks[f"core-{number}"] = SimDisk(rng=self.rng)
 
     def start(self, name):
         super().start(name)
-        self.cards[name]["found"] = False  # true at the very first start only
+        self.cards[name]["found"] = False  # true only at the first start
 
     def halls(self):
-        return [x.daemon for n, x in self.nodes.items() if n.startswith("hall")]
+        return [node.daemon for name, node in self.nodes.items() if name.startswith("hall")]
 
     def primary(self):
-        return [h for h in self.halls() if h.desk.live()]
+        return [hall for hall in self.halls() if hall.desk.live()]
 
     async def until(self, what, limit=20.0):
-        t = self.loop.vt
+        start = self.loop.vt
         while not what():
-            assert self.loop.vt - t < limit, "not in time"
+            assert self.loop.vt - start < limit, "not in time"
             await asyncio.sleep(0.02)
-        return self.loop.vt - t
+        return self.loop.vt - start
 
 
-def up(w, n=5):
+def up(world, n=5):
     return lambda: (
-        len(w.primary()) == 1 and all(len(h.store.voters) == n and not h.store.blank for h in w.halls())
+        len(world.primary()) == 1
+        and all(len(hall.store.voters) == n and not hall.store.blank for hall in world.halls())
     )
 
 
-@pytest.mark.parametrize("n", [3, 5])
-def test_three_found_and_the_others_join(n):
-    w = Halls(seed=n, n=n)
+@pytest.mark.parametrize("count", [3, 5])
+def test_three_bootstrap_and_the_others_join(count):
+    world = Halls(seed=count, n=count)
 
     async def go():
-        w.start_all()
-        await w.until(up(w, n))
-        (p,) = w.primary()
-        assert p.store.rank == LEADER  # the duties stand together
-        await w.until(lambda: all(h.store.conf["v"] >= 1 for h in w.halls()))  # in the log
+        world.start_all()
+        await world.until(up(world, count))
+        (primary,) = world.primary()
+        assert primary.store.rank == LEADER  # the primary scheduler is beside the store's leader
+        await world.until(
+            lambda: all(hall.store.conf["v"] >= 1 for hall in world.halls())
+        )  # the membership is in the log
 
-    w.run(go())
+    world.run(go())
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_all_killed_at_once_are_back_soon(seed):
-    w = Halls(seed=seed)
+def test_all_killed_at_once_have_a_primary_within_two_seconds(seed):
+    world = Halls(seed=seed)
 
     async def go():
-        w.start_all()
-        await w.until(up(w))
+        world.start_all()
+        await world.until(up(world))
         await asyncio.sleep(3)
-        for n in list(w.nodes):
-            w.kill(n)
+        for name in list(world.nodes):
+            world.kill(name)
         await asyncio.sleep(0.5)
-        w.start_all()
-        assert await w.until(lambda: len(w.primary()) == 1) < 2.0
+        world.start_all()
+        assert await world.until(lambda: len(world.primary()) == 1) < 2.0
 
-    w.run(go())
+    world.run(go())
 
 
-@pytest.mark.parametrize("n, leader", [(3, True), (3, False), (5, True)])
-def test_one_gone_for_good_is_replaced_by_a_blank_one(n, leader):
-    w = Halls(seed=7 + n, n=n)
+@pytest.mark.parametrize("count, leader", [(3, True), (3, False), (5, True)])
+def test_a_lost_member_is_replaced_by_an_empty_one(count, leader):
+    world = Halls(seed=7 + count, n=count)
 
     async def go():
-        w.start_all()
-        await w.until(up(w, n))
+        world.start_all()
+        await world.until(up(world, count))
         gone = next(
-            x for x in w.nodes if x.startswith("hall") and (w.nodes[x].daemon.store.rank == LEADER) == leader
+            name
+            for name in world.nodes
+            if name.startswith("hall") and (world.nodes[name].daemon.store.rank == LEADER) == leader
         )
-        w.power_off(w.cards[gone]["machine"])
+        world.power_off(world.cards[gone]["machine"])
         await asyncio.sleep(2)
-        w.add_hall(9)
-        w.start("hall-9")
-        await w.until(
+        world.add_hall(9)
+        world.start("hall-9")
+        await world.until(
             lambda: (
-                all("10.0.0.9:7000" in h.store.voters and not h.store.blank for h in w.halls())
-                and len(w.primary()) == 1
+                all("10.0.0.9:7000" in hall.store.voters and not hall.store.blank for hall in world.halls())
+                and len(world.primary()) == 1
             )
         )
-        await w.until(lambda: all(len(h.store.voters) == n for h in w.halls()))
-        back = w.cards[gone]["addr"]  # it comes back after all, and is no stranger
-        w.power_on(w.cards[gone]["machine"], [gone])
-        await w.until(lambda: all(back in h.store.voters for h in w.halls()))
-        assert len(w.primary()) == 1
+        await world.until(lambda: all(len(hall.store.voters) == count for hall in world.halls()))
+        address = world.cards[gone]["addr"]  # the lost member comes back, and may join again
+        world.power_on(world.cards[gone]["machine"], [gone])
+        await world.until(lambda: all(address in hall.store.voters for hall in world.halls()))
+        assert len(world.primary()) == 1
 
-    w.run(go())
+    world.run(go())
 
 
-def test_a_blank_one_that_the_list_knows_counts_only_by_the_rule_for_blank_ones():
-    w = Halls(seed=3, n=3)
+def test_an_empty_replica_of_a_known_member_votes_only_above_its_minimum_term():
+    world = Halls(seed=3, n=3)
 
     async def go():
-        w.start_all()
-        await w.until(up(w, 3))
-        await w.until(lambda: all(h.store.conf["v"] >= 1 for h in w.halls()))
-        n = next(x for x in w.nodes if x.startswith("hall") and w.nodes[x].daemon.store.rank != LEADER)
-        w.kill(n)
+        world.start_all()
+        await world.until(up(world, 3))
+        await world.until(lambda: all(hall.store.conf["v"] >= 1 for hall in world.halls()))
+        name = next(
+            other
+            for other in world.nodes
+            if other.startswith("hall") and world.nodes[other].daemon.store.rank != LEADER
+        )
+        world.kill(name)
         from hollowhall.sim.disk import SimDisk
 
-        w.disks[w.cards[n]["machine"]] = SimDisk(rng=w.rng)
-        w.start(n)
-        d = w.nodes[n].daemon.store
-        await w.until(lambda: not d.blank)
-        assert d.floor is not None and d.term > d.floor > 0
+        world.disks[world.cards[name]["machine"]] = SimDisk(rng=world.rng)
+        world.start(name)
+        member = world.nodes[name].daemon.store
+        await world.until(lambda: not member.blank)
+        assert member.floor is not None and member.term > member.floor > 0
 
-    w.run(go())
+    world.run(go())
 
 
-def test_a_member_that_is_cut_off_tells_no_news():
-    w = Halls(seed=4, n=3)
+def test_a_member_that_is_cut_off_answers_no_polls():
+    world = Halls(seed=4, n=3)
 
     async def go():
-        w.start_all()
-        await w.until(up(w, 3))
-        n = next(x for x in w.nodes if x.startswith("hall") and w.nodes[x].daemon.store.rank != LEADER)
-        d, me, got = w.nodes[n].daemon.store, w.cards[n]["machine"], []
-        d.on_charter(request={"version": 99}, callback=got.append, caller="mast")
-        for m in ("core-1", "core-2", "core-3"):
-            if m != me:
-                w.net.cut(me, m)
+        world.start_all()
+        await world.until(up(world, 3))
+        name = next(
+            other
+            for other in world.nodes
+            if other.startswith("hall") and world.nodes[other].daemon.store.rank != LEADER
+        )
+        member, machine, answers = world.nodes[name].daemon.store, world.cards[name]["machine"], []
+        member.on_charter(request={"version": 99}, callback=answers.append, caller="mast")
+        for other_machine in ("core-1", "core-2", "core-3"):
+            if other_machine != machine:
+                world.net.cut(machine, other_machine)
         await asyncio.sleep(constants.TOUCH + 0.4)
-        assert isinstance(got[0], NotLeader)
-        d.on_charter(request={"version": 0}, callback=got.append, caller="mast")
-        assert isinstance(got[1], NotLeader)
-        assert not w.nodes[n].daemon.desk.can_open()
+        assert isinstance(answers[0], NotLeader)
+        member.on_charter(request={"version": 0}, callback=answers.append, caller="mast")
+        assert isinstance(answers[1], NotLeader)
+        assert not world.nodes[name].daemon.desk.can_open()
 
-    w.run(go())
+    world.run(go())
 
 
 @pytest.mark.parametrize("seed", [2, 5, 8, 13, 14])
 def test_a_primary_that_cannot_read_the_record_lets_its_lease_go(seed):
-    # and does not take it again at once, each 3 s and for ever (under all these seeds but 5)
-    w = Halls(seed=seed, n=3)
+    # a fault made it take the lease again at once, every 3 s for ever (under all these seeds but 5)
+    world = Halls(seed=seed, n=3)
 
     async def go():
-        w.start_all()
-        await w.until(up(w, 3))
-        n = next(x for x in w.nodes if x.startswith("hall") and not w.nodes[x].daemon.desk.live())
-        bad = w.nodes[n].daemon.desk
-        bad.can_open = lambda: True
+        world.start_all()
+        await world.until(up(world, 3))
+        name = next(
+            other
+            for other in world.nodes
+            if other.startswith("hall") and not world.nodes[other].daemon.desk.live()
+        )
+        behind = world.nodes[name].daemon.desk
+        behind.can_open = lambda: True
 
-        async def never(i, *, wait):
+        async def never(index, *, wait):
             await asyncio.sleep(wait)
             return False
 
-        bad.tail_to = never
-        for x in list(w.nodes):
-            if x.startswith("hall") and x != n and w.nodes[x].daemon.desk.live():
-                await w.leave(x)
-                w.start(x)
-        await w.until(lambda: w.primary() and not bad.live(), limit=15)
+        behind.tail_to = never
+        for other in list(world.nodes):
+            if other.startswith("hall") and other != name and world.nodes[other].daemon.desk.live():
+                await world.leave(other)
+                world.start(other)
+        await world.until(lambda: world.primary() and not behind.live(), limit=15)
 
-    w.run(go())
+    world.run(go())
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -1,5 +1,5 @@
-"""A connection whose peer takes it in and never says hello, as a frozen one does, is closed
-again: else a freeze costs both sides one more descriptor each second."""
+"""A connection whose peer accepts it and never sends its hello, as a frozen process does, is closed again.
+Otherwise each second of a freeze would cost both sides a descriptor."""
 
 import asyncio
 
@@ -9,37 +9,43 @@
 
 
 def test_a_handshake_without_answer_closes_its_connection():
-    w = Halls(seed=1, n=3)
+    world = Halls(seed=1, n=3)
 
     async def go():
-        w.start_all()
-        await w.until(up(w, 3))
-        d = w.halls()[0].store
+        world.start_all()
+        await world.until(up(world, 3))
+        daemon = world.halls()[0].store
         opened = []
 
         class Wire:
+            """Accepts what is sent and never receives anything."""
+
             def __init__(self):
-                self.shut = False
+                self.is_closed = False
                 opened.append(self)
 
-            def send(self, b):
+            def send(self, frame):
                 return True
 
             async def recv(self):
                 await asyncio.sleep(1e6)
 
             def close(self):
-                self.shut = True
+                self.is_closed = True
 
         class Net:
+            """A network on which every connection is a silent Wire."""
+
             async def dial(self, *, addr):
                 return Wire()
 
-        d.seam.net = Net()
-        Link(host=d, addr="10.9.9.9:7000")
+        daemon.seam.net = Net()
+        Link(host=daemon, addr="10.9.9.9:7000")
         await asyncio.sleep(20)
-        n = len(opened)
+        count = len(opened)
         await asyncio.sleep(3)
-        assert n > 5 and all(x.shut for x in opened[:n]), sum(not x.shut for x in opened[:n])
+        assert count > 5 and all(wire.is_closed for wire in opened[:count]), sum(
+            not wire.is_closed for wire in opened[:count]
+        )
 
-    w.run(go())
+    world.run(go())
--- a/tests/test_loop_time.py
+++ b/tests/test_loop_time.py
@@ -1,15 +1,19 @@
-"""The time of a daemon's loop by section: a section within another one counts for itself alone, and what a
-loop that was held up ran stands in its log line."""
+"""The time of a daemon's event loop by section: the time of a nested section is not counted for the section
+around it, also when a section raises."""
 
 from hollowhall.base.loop_time import LoopTime, in_section
 
 
 class Clock:
+    """A clock that the daemon below moves on."""
+
     def __init__(self):
         self.now = 5.0
 
 
 class Daemon:
+    """Has a section within another one."""
+
     def __init__(self, clock):
         self.clock, self.loop_time = clock, LoopTime(now=lambda: clock.now)
 
@@ -23,7 +27,7 @@
         self.clock.now += 0.3
 
 
-def test_a_section_within_another_counts_for_itself_alone():
+def test_a_nested_section_is_not_counted_for_the_outer_one():
     daemon = Daemon(Clock())
     daemon.outer()
     daemon.inner()
@@ -43,8 +47,10 @@
     assert daemon.loop_time.take() == "inner:600,broken:0"
 
 
-def test_a_part_without_a_daemon_is_not_timed():
+def test_an_object_without_a_daemon_is_not_timed():
     class Part:
+        """An object without a daemon's loop_time."""
+
         @in_section("work")
         def work(self):
             return 7
--- a/tests/test_params.py
+++ b/tests/test_params.py
@@ -1,4 +1,4 @@
-"""Params are checked before a socket opens, and every bad key is named."""
+"""Settings are validated before a socket opens, and every invalid key is named."""
 
 import subprocess
 import sys
@@ -16,9 +16,9 @@
 }
 
 
-def test_good_params_are_taken():
-    p = check(GOOD)
-    assert p.id == "desk-1" and len(p.seeds) == 3
+def test_valid_settings_are_accepted():
+    settings = check(GOOD)
+    assert settings.id == "desk-1" and len(settings.seeds) == 3
 
 
 @pytest.mark.parametrize(
@@ -39,18 +39,18 @@
         ({"descriptors": 10}, "descriptors"),
     ],
 )
-def test_bad_params_name_their_key(change, key):
-    with pytest.raises(Raised) as e:
+def test_invalid_settings_name_their_key(change, key):
+    with pytest.raises(Raised) as raised:
         check(GOOD | change)
-    assert key in [k for k, _ in e.value.problem.errors]
+    assert key in [name for name, _ in raised.value.problem.errors]
 
 
-def test_the_program_ends_with_2_and_says_why():
-    p = subprocess.run(
+def test_the_program_exits_with_2_and_names_the_keys():
+    process = subprocess.run(
         [sys.executable, "-m", "hollowhall", "desk", "--id", "d", "--addr", "1.2.3.4:0"],
         capture_output=True,
         text=True,
         timeout=60,
     )
-    assert p.returncode == 2
-    assert "addr" in p.stderr and "seeds" in p.stderr
+    assert process.returncode == 2
+    assert "addr" in process.stderr and "seeds" in process.stderr
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,5 +1,5 @@
-"""Daemons as processes: signals, exit codes, a damaged disk. The tests read the log
-and wait for its numbered events."""
+"""Daemons as processes: signals, exit codes and a damaged disk. The tests read the log and wait for numbered
+events."""
 
 import asyncio
 import signal
@@ -13,83 +13,94 @@
 RUN = [sys.executable, "-m", "hollowhall"]
 
 
-def params(path, **kw):
+def write_settings(path, **settings):
     path.write_text(
-        "".join(f"{a} = {b!r}\n".replace("True", "true") for a, b in kw.items()).replace("'", '"')
+        "".join(f"{key} = {value!r}\n".replace("True", "true") for key, value in settings.items()).replace(
+            "'", '"'
+        )
     )
     return str(path)
 
 
-def until(p, event):
-    """Reads the log up to an event; fails when the process ends before it."""
+def wait_for_event(process, number):
+    """Reads the log up to the event with this number; fails when the process ends before it."""
     seen = []
-    for line in p.stderr:
+    for line in process.stderr:
         seen.append(line)
-        if event in line:
+        if number in line:
             return line
     raise AssertionError("".join(seen))
 
 
 def test_signals_of_a_mast(tmp_path):
-    a, m, h = [f"127.0.0.1:{x}" for x in free_ports(3)]
-    f = tmp_path / "mast.toml"
-    good = dict(id="mast-1", addr=m, http=h, seeds=[a])
-    p = subprocess.Popen([*RUN, "mast", "--params", params(f, **good)], stderr=subprocess.PIPE, text=True)
+    seed, address, http = [f"127.0.0.1:{port}" for port in free_ports(3)]
+    path = tmp_path / "mast.toml"
+    good = dict(id="mast-1", addr=address, http=http, seeds=[seed])
+    process = subprocess.Popen(
+        [*RUN, "mast", "--params", write_settings(path, **good)], stderr=subprocess.PIPE, text=True
+    )
     try:
-        until(p, "HH100")
-        params(f, **good | {"shed_at": "many"})
-        p.send_signal(signal.SIGHUP)
-        assert "shed_at" in until(p, "HH103")
-        params(f, **good | {"shed_at": 200, "zone": "z9"})
-        p.send_signal(signal.SIGHUP)
-        assert "zone" in until(p, "HH105")
-        until(p, "HH104")
-        p.send_signal(signal.SIGTERM)
-        until(p, "HH102")
-        assert p.wait(20) == 0
+        wait_for_event(process, "HH100")
+        write_settings(path, **good | {"shed_at": "many"})
+        process.send_signal(signal.SIGHUP)
+        assert "shed_at" in wait_for_event(process, "HH103")
+        write_settings(path, **good | {"shed_at": 200, "zone": "z9"})
+        process.send_signal(signal.SIGHUP)
+        assert "zone" in wait_for_event(process, "HH105")
+        wait_for_event(process, "HH104")
+        process.send_signal(signal.SIGTERM)
+        wait_for_event(process, "HH102")
+        assert process.wait(20) == 0
     finally:
-        p.kill()
+        process.kill()
 
 
-def test_an_almanac_refuses_a_damaged_ring_and_keeps_it(tmp_path):
+def test_an_almanac_refuses_a_damaged_log_and_leaves_it_unchanged(tmp_path):
     async def write():
-        r = Ring(disk=Disk(folder=str(tmp_path / "data")))
-        r.load()
-        for i in range(1, 4):
-            await r.put(hard={"t": 1, "v": "", "m": True}, es=[[i, 1, b"x" * 40]])
+        log = Ring(disk=Disk(folder=str(tmp_path / "data")))
+        log.load()
+        for index in range(1, 4):
+            await log.put(hard={"t": 1, "v": "", "m": True}, es=[[index, 1, b"x" * 40]])
 
     asyncio.run(write())
-    ring = tmp_path / "data" / "ring-00"
-    b = bytearray(ring.read_bytes())
-    b[HEAD.size + 8] ^= 1
-    ring.write_bytes(b)
-    (a,) = [f"127.0.0.1:{x}" for x in free_ports(1)]
-    p = subprocess.run(
+    segment = tmp_path / "data" / "ring-00"
+    content = bytearray(segment.read_bytes())
+    content[HEAD.size + 8] ^= 1
+    segment.write_bytes(content)
+    (address,) = [f"127.0.0.1:{port}" for port in free_ports(1)]
+    process = subprocess.run(
         [
             *RUN,
             "almanac",
             "--params",
-            params(tmp_path / "a.toml", id="a1", addr=a, seeds=[a], data=str(tmp_path / "data")),
+            write_settings(
+                tmp_path / "a.toml", id="a1", addr=address, seeds=[address], data=str(tmp_path / "data")
+            ),
         ],
         capture_output=True,
         text=True,
         timeout=60,
     )
-    assert p.returncode == 3 and "HH207" in p.stderr and "DiskDamage" in p.stderr
-    assert ring.read_bytes() == bytes(b)
+    assert process.returncode == 3 and "HH207" in process.stderr and "DiskDamage" in process.stderr
+    assert segment.read_bytes() == bytes(content)
 
 
-def test_a_taken_port_is_told_and_ends_the_daemon(tmp_path):
+def test_a_port_in_use_is_reported_and_ends_the_daemon(tmp_path):
     import socket
 
-    with socket.socket() as s:
-        s.bind(("127.0.0.1", 0))
-        s.listen()
-        addr = f"127.0.0.1:{s.getsockname()[1]}"
-        p = subprocess.run(
-            [*RUN, "desk", "--params", params(tmp_path / "d.toml", id="d1", addr=addr, seeds=[addr])],
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        listener.listen()
+        address = f"127.0.0.1:{listener.getsockname()[1]}"
+        process = subprocess.run(
+            [
+                *RUN,
+                "desk",
+                "--params",
+                write_settings(tmp_path / "d.toml", id="d1", addr=address, seeds=[address]),
+            ],
             capture_output=True,
             text=True,
             timeout=60,
         )
-    assert p.returncode == 1 and addr in p.stderr
+    assert process.returncode == 1 and address in process.stderr
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1,7 +1,7 @@
-"""Versions side by side. What 0.1.0 wrote on disk is read by whatever stands here
-now; and a fleet is rolled out one daemon at a time under load, in both orders, with
-old and new daemons talking to each other meanwhile. `python tests/test_versions.py`
-writes the fixture anew; only a version that changes the format may do so, beside it."""
+"""Compatibility between versions. The files that 0.1.0 wrote are read by this version, and a cluster is
+upgraded one daemon at a time under load, in both orders, while old and new daemons talk to each other.
+`python tests/test_versions.py` writes the fixture; a version that changes the format adds a new one beside
+it."""
 
 import asyncio
 import base64
@@ -24,67 +24,69 @@
 FIXTURE = pathlib.Path(__file__).parent / "data" / "disk-0.1.0.json"
 
 
-def write():
-    """A small fleet's life, and one almanac's disk at the end of it."""
-    w = World(seed=1, shape=SHAPES["cymylau"], masts=1)
+def write_fixture():
+    """Runs a small cluster and saves one store member's disk at the end."""
+    world = World(seed=1, shape=SHAPES["cymylau"], masts=1)
 
     async def go():
-        w.start_all()
-        op, req = w.operator(tag="op"), w.requester(tag="r")
-        await op.found(lanes=w.shape.lanes)
-        w.add_crew()
-        await req.run(mix=w.shape.mix, seconds=4, settle=10)
-
-    w.run(go())
-    d = w.disks["core-1"]
-    a = [x.daemon for x in w.graves if x.name == "almanac-1"][0]
-    z = lambda b: base64.b64encode(zlib.compress(bytes(b).rstrip(b"\0"), 9)).decode()  # noqa: E731
+        world.start_all()
+        operator, client = world.operator(tag="op"), world.requester(tag="r")
+        await operator.found(lanes=world.shape.lanes)
+        world.add_crew()
+        await client.run(mix=world.shape.mix, seconds=4, settle=10)
+
+    world.run(go())
+    disk = world.disks["core-1"]
+    member = [node.daemon for node in world.graves if node.name == "almanac-1"][0]
+    packed = lambda data: base64.b64encode(zlib.compress(bytes(data).rstrip(b"\0"), 9)).decode()  # noqa: E731
     FIXTURE.write_text(
         json.dumps(
             {
-                "files": {n: z(f.safe) for n, f in d.files.items()},
-                "snap": z(d.wholes["snap"]),
-                "size": a.params.ring_bytes,
-                "n": a.params.ring_files,
-                "term": a.term,
-                "last": a.last(),
-                "applied": a.applied,
-                "digest": a.record.digest(),
+                "files": {name: packed(file.safe) for name, file in disk.files.items()},
+                "snap": packed(disk.wholes["snap"]),
+                "size": member.params.ring_bytes,
+                "n": member.params.ring_files,
+                "term": member.term,
+                "last": member.last(),
+                "applied": member.applied,
+                "digest": member.record.digest(),
             }
         )
     )
 
 
-def test_an_older_versions_disk_is_read():
-    x = json.loads(FIXTURE.read_text())
-    d = SimDisk(rng=random.Random(1))
-    for n, b in x["files"].items():
-        f = d.file(name=n, size=x["size"])
-        b = zlib.decompress(base64.b64decode(b))
-        f.safe[: len(b)] = b
-    d.wholes["snap"] = zlib.decompress(base64.b64decode(x["snap"]))
-    hard, snap, es = Ring(disk=d, files=x["n"], size=x["size"]).load()
-    rec = Record()
-    rec.load(snap["record"])
-    assert hard["t"] == x["term"] and hard["m"] and snap["i"] > 0
-    assert (es[-1][0] if es else snap["i"]) == x["last"]
-    for i, _, b in es:
-        e = unpack(b)
-        if i <= x["applied"] and e[0] in ("turn", "edit"):
-            rec.enact(op=e[0], d=e[1])
-    assert rec.digest() == x["digest"] and len(rec.jobs) > 5
+def test_the_disk_of_an_older_version_is_read():
+    fixture = json.loads(FIXTURE.read_text())
+    disk = SimDisk(rng=random.Random(1))
+    for name, data in fixture["files"].items():
+        file = disk.file(name=name, size=fixture["size"])
+        data = zlib.decompress(base64.b64decode(data))
+        file.safe[: len(data)] = data
+    disk.wholes["snap"] = zlib.decompress(base64.b64decode(fixture["snap"]))
+    hard, snap, entries = Ring(disk=disk, files=fixture["n"], size=fixture["size"]).load()
+    record = Record()
+    record.load(snap["record"])
+    assert hard["t"] == fixture["term"] and hard["m"] and snap["i"] > 0
+    assert (entries[-1][0] if entries else snap["i"]) == fixture["last"]
+    for index, _, data in entries:
+        entry = unpack(data)
+        if index <= fixture["applied"] and entry[0] in ("turn", "edit"):
+            record.enact(op=entry[0], d=entry[1])
+    assert record.digest() == fixture["digest"] and len(record.jobs) > 5
 
 
 def newer(cls):
-    """The next version: it says more in its first frame and knows one more ask."""
+    """A daemon class of the next version: its hello has more fields, and it serves one more request."""
 
     class Next(cls):
+        """The class as of the next version."""
+
         abstract = False
 
         def hello(self):
             return super().hello() | {"build": "next", "knows": ["weather"]}
 
-        def on_weather(self, *, b, k, who):
+        def on_weather(self, *, request, callback, caller):
             raise NotImplementedError
 
     return Next
@@ -92,34 +94,34 @@
 
 @pytest.mark.parametrize("order", ["edge first", "core first"])
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_roll_out_under_load(order, seed):
-    w, fig = World(seed=seed, shape=SHAPES["cymylau"], masts=3), {}
+def test_a_rolling_upgrade_under_load(order, seed):
+    world, figures = World(seed=seed, shape=SHAPES["cymylau"], masts=3), {}
 
     async def go():
-        w.start_all()
-        op, req = w.operator(tag="op"), w.requester(tag="r")
-        await op.found(lanes=w.shape.lanes)
-        w.add_crew()
-        req.shots = 0.0
-        load = asyncio.ensure_future(req.run(mix=w.shape.mix, seconds=40, settle=25))
-        w.build = {a: newer(c) for a, c in W.REAL.items()}
-        names = sorted(w.cards, key=lambda n: n.split("-"))
-        for n in names[::-1] if order == "edge first" else names:
-            await w.leave(n)
-            w.start(n)
+        world.start_all()
+        operator, client = world.operator(tag="op"), world.requester(tag="r")
+        await operator.found(lanes=world.shape.lanes)
+        world.add_crew()
+        client.shots = 0.0
+        load = asyncio.ensure_future(client.run(mix=world.shape.mix, seconds=40, settle=25))
+        world.build = {role: newer(daemon) for role, daemon in W.REAL.items()}
+        names = sorted(world.cards, key=lambda name: name.split("-"))
+        for name in names[::-1] if order == "edge first" else names:
+            await world.leave(name)
+            world.start(name)
             await asyncio.sleep(2.5)
-        w.hist.note("fault", what="rolled out")
+        world.hist.note("fault", what="rolled out")
         await load
-        w.hist.note("calm")
-        await op.read()
-        fig.update(req.figures)
+        world.hist.note("calm")
+        await operator.read()
+        figures.update(client.figures)
 
-    w.run(go())
-    bad, seen = judge(w.hist.rows)
-    assert bad == [], [(b.rule, b.text) for b in bad[:5]]
-    assert not [x for x in w.log if "HH106" in x or "HH111" in x]
-    assert fig["accepted"] > 150 and seen["jobs_ended"] > 140 and fig["given_up"] == 0
+    world.run(go())
+    broken, seen = judge(world.hist.rows)
+    assert broken == [], [(violation.rule, violation.text) for violation in broken[:5]]
+    assert not [line for line in world.log if "HH106" in line or "HH111" in line]
+    assert figures["accepted"] > 150 and seen["jobs_ended"] > 140 and figures["given_up"] == 0
 
 
 if __name__ == "__main__":
-    write()
+    write_fixture()
