--- a/hollowhall/desk/backfill.py
+++ b/hollowhall/desk/backfill.py
@@ -1,125 +1,152 @@
-"""Workers held back for steps that starve. A task that has waited long for room gets the worker
-nearest to having it; a gang gets workers for all its members, or none. Only workers that the step
-could start on are held back: one that has turned unfit is given free again, and another one takes
-its place."""
+"""Holds workers back for steps that starve, and runs short work on them meanwhile (backfill).
+
+A task that has waited long for room gets the worker that lacks the least room for it; a gang gets workers
+for all its members, or none. Only workers on which the step could start are held back: a worker that has
+become unfit is released, and another one takes its place."""
 
 from ..base import constants
 from ..record.kinds import UP
 
 
 class BackfillMixin:
+    """The workers that a round holds back: `kept` is {worker id: (job, step)}."""
+
     def release_unusable(self):
-        """Gives free what is held back for a step that waits no more or that may not start now, or on
-        a worker that has gone or that the step could not start on now, whatever its room."""
-        for key in [k for k in self.kept_until if k not in self.rec.ready]:
-            del self.kept_until[key]
-        for worker_id, key in list(self.kept.items()):
+        """Releases workers held back for a step that no longer waits or may not start now, and workers that
+        are gone or on which the step could not start now even if they had room."""
+        for step_key in [key for key in self.kept_until if key not in self.rec.ready]:
+            del self.kept_until[step_key]
+        for worker_id, step_key in list(self.kept.items()):
             worker = self.rec.workers.get(worker_id)
-            if worker is None or not self.may_start(key) or not self.usable(worker=worker, k=key):
+            if (
+                worker is None
+                or not self.may_start(step_key)
+                or not self.usable(worker=worker, step_key=step_key)
+            ):
                 del self.kept[worker_id]
-                self.kept_until.pop(key, None)
+                self.kept_until.pop(step_key, None)
 
-    def may_start(self, k):
-        """Whether a task of step k could start now, had it room: one is ready and due, its queue is in
-        the configuration, and queue and tenant are below their limits. Workers held back for any
-        other serve nobody."""
-        if k not in self.rec.ready or self.tenant_refusal(job=k[0], step=k[1]):
+    def may_start(self, step_key):
+        """Whether a task of the step could start now if it had room: one is ready and due, its queue is
+        configured, and its queue and tenant are below their limits. Workers held back for any other step
+        would stand idle for nothing."""
+        if step_key not in self.rec.ready or self.tenant_refusal(job=step_key[0], step=step_key[1]):
             return False
-        lane = self.rec.jobs[k[0]].lane
+        lane = self.rec.jobs[step_key[0]].lane
         row = self.rec.charter["rows"].get(lane)
         if row is None or self.full(lane, row):
             return False
-        return bool(self.holding_of(job=k[0], step=k[1]))
+        return bool(self.due_tasks_of(job=step_key[0], step=step_key[1]))
 
-    def usable(self, *, worker, k):
-        """Whether the step k could start on worker w once it has room."""
-        return self.sound(worker) and not self.trial_bars(worker=worker, k=k, empty=True)
+    def usable(self, *, worker, step_key):
+        """Whether the step could start on a worker once that has room."""
+        return self.accepts_starts(worker) and not self.trial_bars(
+            worker=worker, step_key=step_key, empty=True
+        )
 
-    def trial_bars(self, *, worker, k, empty=False):
-        """Whether a worker on trial takes no start of step k: it takes one attempt at a time, and of
-        a gang, which fails whole where one member does, only when that has waited long."""
+    def trial_bars(self, *, worker, step_key, empty=False):
+        """Whether a worker is on trial and refuses a start of this step. It takes one attempt at a time, and
+        a member of a gang only if the gang has waited long: if one member fails, the whole gang fails."""
         if worker.id not in self.trials:
             return False
         if worker.runs and not empty:
             return True
-        return bool(self.rec.jobs[k[0]].steps[k[1]].spec.get("gang")) and not self.waits_long(k)
+        return bool(self.rec.jobs[step_key[0]].steps[step_key[1]].spec.get("gang")) and not self.waits_long(
+            step_key
+        )
 
-    def waits_long(self, k):
+    def waits_long(self, step_key):
         """Whether a ready step has waited so long that workers on trial are better than none."""
-        task = next(iter(self.rec.ready[k].values()))
+        task = next(iter(self.rec.ready[step_key].values()))
         return self.now - max(task.at >> constants.LOGICAL_BITS, task.due) > constants.FLAKY_WAIT_MS
 
-    def reserve(self, *, task, step, could):
-        """Keeps the worker nearest to having room for t; one a step, half of a kind."""
-        k = (task.job, task.step)
-        if k in self.kept.values():
+    def reserve(self, *, task, step, eligible):
+        """Holds back the worker that lacks the least room for a task; one per step, and at most half of the
+        workers of a kind."""
+        step_key = (task.job, task.step)
+        if step_key in self.kept.values():
             return
-        ws = [w for w in could if w.state == UP and w.id not in self.kept and self.usable(worker=w, k=k)]
-        kind = self.kinds[could[0].kind] if could else ()
-        mine = [w for w in kind if w.id in self.kept]
-        if ws and len(mine) * 2 < len(kind):
-            w = min(
-                ws, key=lambda w: (max(w.used[i] + step.spec["room"][i] - w.room[i] for i in range(3)), w.id)
+        candidates = [
+            worker
+            for worker in eligible
+            if worker.state == UP
+            and worker.id not in self.kept
+            and self.usable(worker=worker, step_key=step_key)
+        ]
+        kind = self.kinds[eligible[0].kind] if eligible else ()
+        held = [worker for worker in kind if worker.id in self.kept]
+        if candidates and len(held) * 2 < len(kind):
+            worker = min(
+                candidates,
+                key=lambda worker: (
+                    max(worker.used[i] + step.spec["room"][i] - worker.room[i] for i in range(3)),
+                    worker.id,
+                ),
             )
-            self.kept[w.id] = k
+            self.kept[worker.id] = step_key
 
-    def reserve_gang(self, *, k, step, sets, lane):
-        """Keeps workers for all members, or none: two gangs that each kept a part of what they need
-        would wait for each other. Of each of the sets of workers that would do, the members' places
-        that come free first are looked at; the set that has them all first is taken."""
-        if self.kept_until.get(k, 0) > self.now and k in self.kept.values():
+    def reserve_gang(self, *, step_key, step, sets, lane):
+        """Holds back workers for all members of a gang, or none: two gangs that each held a part of what they
+        need would wait for each other. Chooses the one of the worker sets that has room for all members
+        first."""
+        if self.kept_until.get(step_key, 0) > self.now and step_key in self.kept.values():
             return
-        mine = {i for i, key in self.kept.items() if key == k}
+        held_ids = {worker_id for worker_id, key in self.kept.items() if key == step_key}
         plans = [
-            x for ws in sets if (x := self.places_by_drain(k=k, step=step, workers=ws, lane=lane)) is not None
+            plan
+            for workers in sets
+            if (plan := self.places_by_drain(step_key=step_key, step=step, workers=workers, lane=lane))
+            is not None
         ]
         if not plans:
-            for i in mine:
-                del self.kept[i]
+            for worker_id in held_ids:
+                del self.kept[worker_id]
             return
-        wait_ms, ids = min(plans, key=lambda plan: (plan[0], sorted(plan[1])))
-        for i in mine - ids:
-            del self.kept[i]
-        self.kept.update((i, k) for i in ids)
-        self.kept_until[k] = self.now + max(constants.DRAIN_LOOK_MS, wait_ms)
+        wait_ms, chosen_ids = min(plans, key=lambda plan: (plan[0], sorted(plan[1])))
+        for worker_id in held_ids - chosen_ids:
+            del self.kept[worker_id]
+        self.kept.update((worker_id, step_key) for worker_id in chosen_ids)
+        self.kept_until[step_key] = self.now + max(constants.DRAIN_LOOK_MS, wait_ms)
 
-    def places_by_drain(self, *, k, step, workers, lane):
-        """(ms until all members have a place, the workers), by when what runs there is expected to
-        end; None where the set has too few workers that may be held back."""
+    def places_by_drain(self, *, step_key, step, workers, lane):
+        """(ms until all members have room, worker ids), by the expected ends of the running attempts; None if
+        too few workers of the set may be held back."""
         kind = self.kinds[workers[0].kind]
-        left = len(kind) // 2 - sum(self.kept.get(w.id, k) != k for w in kind)
+        allowance = len(kind) // 2 - sum(self.kept.get(worker.id, step_key) != step_key for worker in kind)
         places = []
-        for w in workers:
-            if self.kept.get(w.id, k) != k or not self.usable(worker=w, k=k):
+        for worker in workers:
+            if self.kept.get(worker.id, step_key) != step_key or not self.usable(
+                worker=worker, step_key=step_key
+            ):
                 continue
-            most = self.members_of(step=step, worker=w, empty=True)
-            times = self.drain_times(worker=w, room=step.spec["room"], most=most)
-            places += [(ms, w.id in self.doubt, w.id) for ms in times]
+            member_limit = self.member_places(step=step, worker=worker, empty=True)
+            times = self.drain_times(worker=worker, room=step.spec["room"], limit=member_limit)
+            places += [(ms, worker.id in self.suspected, worker.id) for ms in times]
         places.sort()
         chosen = places[: step.spec["tasks"]]
-        ids = {i for _, _, i in chosen}
-        if len(chosen) < step.spec["tasks"] or len(ids) > left:
+        chosen_ids = {worker_id for _, _, worker_id in chosen}
+        if len(chosen) < step.spec["tasks"] or len(chosen_ids) > allowance:
             return None
-        return chosen[-1][0], ids
+        return chosen[-1][0], chosen_ids
 
-    def drain_times(self, *, worker, room, most):
-        """When worker w will have room for one, two, ... `most` of these rooms, in ms from now."""
+    def drain_times(self, *, worker, room, limit):
+        """In how many ms a worker will have room for one, two, ... `limit` tasks of this size."""
         free = [worker.room[i] - worker.used[i] for i in range(3)]
         ends = [(0, (0, 0, 0))]
-        if any(free[i] < most * room[i] for i in range(3)):
+        if any(free[i] < limit * room[i] for i in range(3)):
             ends += self.drain_order(worker)
-        out = []
+        times = []
         for ms, freed in ends:
             free = [free[i] + freed[i] for i in range(3)]
-            places = min((free[i] // room[i] for i in range(3) if room[i]), default=most)
-            out += [ms] * (min(places, most) - len(out))
-            if len(out) >= most:
+            places = min((free[i] // room[i] for i in range(3) if room[i]), default=limit)
+            times += [ms] * (min(places, limit) - len(times))
+            if len(times) >= limit:
                 break
-        return out
+        return times
 
     def drain_order(self, worker):
-        """[(ms until it ends, the room it frees)] of what runs on a worker, the first to end first; it is worked
-        out once a round, as long as nothing is started there."""
+        """[(ms until it ends, the room it frees)] of the attempts on a worker, the first to end first.
+        Computed once per round, unless an attempt is started there."""
         if worker.id not in self.drains:
             self.round_time.spend(s=constants.DRAIN_LOOK_S)
             ends = ((self.left_ms(attempt), attempt.room) for attempt in worker.runs.values())
@@ -127,14 +154,14 @@
         return self.drains[worker.id]
 
     def may_borrow(self, *, worker, step, lane):
-        """Whether a step may run on a worker that is held back for another one: it will have ended
-        before the worker is wanted, by what its queue's tasks usually take. What is more urgent than
-        the holder is given the benefit of the doubt, but does not put the holder off for good."""
-        usual = self.usual.get(lane)
-        if not self.policy.backfill or usual is None or step.spec.get("forever"):
+        """Whether a step may run on a worker that is held back for another step: by the usual duration of its
+        queue's tasks it ends before the worker is needed. More urgent work needs no safety margin, but must
+        still end by then, so that it cannot delay the holder for ever."""
+        usual_ms = self.usual_ms.get(lane)
+        if not self.policy.backfill or usual_ms is None or step.spec.get("forever"):
             return False
         rows, key = self.rec.charter["rows"], self.kept[worker.id]
         holder = rows.get(self.rec.jobs[key[0]].lane)
         more_urgent = holder is not None and rows[lane]["urgency"] > holder["urgency"]
-        times = 1.0 if more_urgent and self.policy.urgent_borrow else constants.BACKFILL_TIMES
-        return self.now + times * usual <= self.kept_until.get(key, 0)
+        margin = 1.0 if more_urgent and self.policy.urgent_borrow else constants.BACKFILL_TIMES
+        return self.now + margin * usual_ms <= self.kept_until.get(key, 0)
--- a/hollowhall/desk/budget_requests.py
+++ b/hollowhall/desk/budget_requests.py
@@ -1,19 +1,19 @@
-"""What the primary answers of tenants: refills of the buckets of edge daemons, each an event of a turn,
-and a view of who may run what, runs it, waits and was refused."""
+"""Requests about tenants: refills of the token buckets of edge daemons, each an event of a decision batch,
+and a view of what each tenant is allowed, runs, has waiting and was refused."""
 
 from ..base.problems import NotSynced, Success
 from ..record.tenants import RESOURCES, room_limits
 
 
 class BudgetRequestsMixin:
-    """Refills and the operators' view of tenants."""
+    """The scheduler's handlers of refills and of the operators' view of tenants."""
 
     def open_budget_requests(self):
-        self.admissions = {}  # daemon's life: {tenant: [jobs admitted, refused]}, as last told
+        self.admissions = {}  # daemon's life: {tenant: [jobs admitted, refused]}, as last reported
 
     def on_refill(self, *, request, callback, caller):
-        """b: life, seq, have and rows as the record's event takes them, and counts since the daemon's
-        start, {tenant: [admitted, refused]}. Answers with tokens by tenant, once they are recorded."""
+        """request: life, seq, have and rows as the record's event takes them, and counts since the daemon's
+        start, {tenant: [admitted, refused]}. Answers with the tokens by tenant once they are recorded."""
         if not self.ready_to(callback):
             return
         if not self.record.rule["tenants"]:
@@ -35,10 +35,13 @@
             callback(Success(value={"tenants": self.tenants_view()}))
 
     def forget_admissions(self):
-        """Only daemons that hold a loan are shown: those that are gone told nothing of late."""
-        self.admissions = {a: n for a, n in self.admissions.items() if a in self.record.loans}
+        """Drops the counts of daemons that hold no loan of tokens: they are gone."""
+        self.admissions = {
+            life: counts for life, counts in self.admissions.items() if life in self.record.loans
+        }
 
     def tenants_view(self):
+        """{tenant: its view}, for configured tenants and for removed ones that the record still knows."""
         record, waiting = self.record, self.waiting_of_tenants()
         rows = record.former_tenants | (record.configured_tenants() or {})
         return {
@@ -49,7 +52,7 @@
     def tenant_view(self, *, name, row, waiting):
         record, now = self.record, self.clock_ms()
         budget = record.budgets.get(name)
-        counts = {a: n[name] for a, n in self.admissions.items() if name in n}
+        counts = {life: tenants[name] for life, tenants in self.admissions.items() if name in tenants}
         return {
             "weight": row["weight"],
             "configured": name in (record.configured_tenants() or {}),
@@ -58,8 +61,8 @@
             "running": dict(zip(RESOURCES, record.tenant_use(name))),
             "waiting": waiting,
             "tokens": budget.tokens if budget else record.rule.get("budget_most_ms", 0),
-            "admitted": sum(n[0] for n in counts.values()),
-            "refused": sum(n[1] for n in counts.values()),
+            "admitted": sum(count[0] for count in counts.values()),
+            "refused": sum(count[1] for count in counts.values()),
             "daemons": [
                 {
                     "daemon": life.partition("/")[0],
@@ -74,7 +77,7 @@
         }
 
     def waiting_of_tenants(self):
-        """How many tasks of each tenant wait for a worker."""
+        """{tenant: how many of its tasks wait for a worker}."""
         waiting = {}
         for lines in self.record.lines.values():
             for (_, tenant), line in lines.items():
--- a/hollowhall/desk/fit.py
+++ b/hollowhall/desk/fit.py
@@ -1,31 +1,35 @@
-"""Which workers a step may start on. Who would do if it were empty changes only with the
-fleet, and is kept from round to round; who has room is ranked once for each shape in a
-round, best last, and looked at again when it is used, for room only shrinks in a round.
-So the cost of a round is that of the shapes that wait, and not of each task and worker."""
+"""Which workers a step may start on.
+
+The workers that could run a step if they were empty depend only on the fleet and are cached between
+rounds. Workers with room are ranked once per shape and round, best last, and checked again when used:
+room only shrinks within a round. The cost of a round is thus that of the waiting shapes, not of each
+task and worker."""
 
 from ..base import constants
 from ..record.kinds import UP
 from ..record.legs import suits
 
-WHYS = ("room", "spread", "reserved", "probation", "worker", "evacuated", "slow")
+# why no worker was found; the first one that applies is reported
+REASONS = ("room", "spread", "reserved", "probation", "worker", "evacuated", "slow")
 
 
 def total_room(rec):
-    """Room of all workers that are up, by resource."""
-    t = [0, 0, 0]
-    for w in rec.workers.values():
-        if w.state == UP:
-            t = [a + b for a, b in zip(t, w.room)]
-    return t
+    """Room of all workers that are up, as [cores, memory, accelerators]."""
+    total = [0, 0, 0]
+    for worker in rec.workers.values():
+        if worker.state == UP:
+            total = [a + b for a, b in zip(total, worker.room)]
+    return total
 
 
 def has_room(*, worker, room):
-    u, r = worker.used, worker.room
-    return u[0] + room[0] <= r[0] and u[1] + room[1] <= r[1] and u[2] + room[2] <= r[2]
+    """Whether a worker has this much room free."""
+    used, total = worker.used, worker.room
+    return used[0] + room[0] <= total[0] and used[1] + room[1] <= total[1] and used[2] + room[2] <= total[2]
 
 
 def in_use(workers):
-    """The part of these workers' room that is taken, of what is taken most of; 0 to 1."""
+    """The part of these workers' room that is in use, 0 to 1, of the resource that is used most."""
     workers = [w for w in workers if w.state == UP]
     return max(
         (sum(w.used[i] for w in workers) / n for i in range(3) if (n := sum(w.room[i] for w in workers))),
@@ -34,18 +38,20 @@
 
 
 class FitMixin:
+    """Feasibility and ranking of workers for a step."""
+
     def fleet(self, cache):
-        """Workers by kind, and what is kept of them, as long as the fleet is the same."""
+        """Loads the workers by kind from the cache, which is valid as long as the fleet has not changed."""
         if cache.get("fleet") != self.rec.fleet or "kinds" not in cache:
             cache.clear()
             cache["fleet"], kinds = self.rec.fleet, {}
-            for w in sorted(self.rec.workers.values(), key=lambda w: w.id):
-                kinds.setdefault(w.kind, []).append(w)
+            for worker in sorted(self.rec.workers.values(), key=lambda worker: worker.id):
+                kinds.setdefault(worker.kind, []).append(worker)
             cache["kinds"] = kinds
         self.cache, self.kinds, self.ranked = cache, cache["kinds"], {}
 
-    def key_of(self, *, lane, spec):
-        """What a step must have of a worker; where it would like to be is no part of it."""
+    def requirements_of(self, *, lane, spec):
+        """A cache key of what a step requires of a worker; its preferred rack is not part of it."""
         return (
             self.rec.kind_of(lane=lane, spec=spec),
             spec.get("label", ""),
@@ -54,24 +60,24 @@
             *spec["room"],
         )
 
-    def directed(self, *, lane, shape):
-        """A shape as its queue directs it now: with the service that the queue names, whichever it
-        named when the job was handed in. Steps of one such shape fare alike, whatever their queue."""
+    def effective_shape(self, *, lane, shape):
+        """A shape with the service that its queue names now, whichever it named when the job was submitted.
+        Whether steps of one such shape find a worker does not depend on their queue."""
         kind = self.rec.charter["rows"].get(lane, {}).get("kind")
         return (kind, *shape[1:]) if kind else shape
 
-    def could(self, *, lane, spec):
-        """The workers that would do for a step if they were empty."""
-        key = self.key_of(lane=lane, spec=spec)
-        kind, ws = key[0], self.cache.get(key)
-        if ws is None:
-            ws = self.cache[key] = [
-                w for w in self.kinds.get(kind, ()) if suits(spec=spec, worker=w, kind=kind)
+    def eligible_workers(self, *, lane, spec):
+        """The workers that could run a step if they were empty."""
+        key = self.requirements_of(lane=lane, spec=spec)
+        kind, workers = key[0], self.cache.get(key)
+        if workers is None:
+            workers = self.cache[key] = [
+                worker for worker in self.kinds.get(kind, ()) if suits(spec=spec, worker=worker, kind=kind)
             ]
-        return ws
+        return workers
 
-    def sound(self, worker):
-        """Whether a worker takes starts at all now; one that does not is not waited for."""
+    def accepts_starts(self, worker):
+        """Whether a worker accepts starts at all now; if not, no step waits for it."""
         return (
             worker.state == UP
             and worker.zone not in self.rec.evacuated
@@ -79,111 +85,127 @@
             and worker.id not in self.slow
         )
 
-    def rank(self, *, step, lane, near):
-        """([key, worker], best last; what keeps the others) for one shape. Shapes that differ
-        only in the rack they want share one list: what is in that rack comes last of it."""
-        sp = step.spec
-        rack, ws = sp.get("near"), self.could(lane=lane, spec=sp)
+    def ranked_workers(self, *, step, lane, near):
+        """Workers with room for one shape: ([(sort key, worker)] with the best last, the reasons that exclude
+        the others, whether any worker is eligible). Shapes that differ only in the rack they prefer share
+        one list; the workers in that rack are moved to its end. near: only workers in that rack."""
+        spec = step.spec
+        rack, eligible = spec.get("near"), self.eligible_workers(lane=lane, spec=spec)
         if near:
-            mine = [w for w in self.in_rack(lane=lane, spec=sp) if self.sound(w)]
-            if mine:
-                return self.rank_of(workers=mine, room=sp["room"])
-        key = ("any", *self.key_of(lane=lane, spec=sp))
+            nearby = [w for w in self.in_rack(lane=lane, spec=spec) if self.accepts_starts(w)]
+            if nearby:
+                return self.rank(workers=nearby, room=spec["room"])
+        key = ("any", *self.requirements_of(lane=lane, spec=spec))
         if key not in self.ranked:
-            self.ranked[key] = self.rank_of(workers=ws, room=sp["room"])
-        out, whys, some = self.ranked[key]
+            self.ranked[key] = self.rank(workers=eligible, room=spec["room"])
+        ranked, reasons, any_eligible = self.ranked[key]
         if not rack:
-            return list(out), set(whys), some
-        return [x for x in out if x[1].rack != rack] + [x for x in out if x[1].rack == rack], set(whys), some
+            return list(ranked), set(reasons), any_eligible
+        return (
+            [x for x in ranked if x[1].rack != rack] + [x for x in ranked if x[1].rack == rack],
+            set(reasons),
+            any_eligible,
+        )
 
     def in_rack(self, *, lane, spec):
-        """Those of the workers that would do for a step which stand in the rack it wants."""
-        key = ("rack", *self.key_of(lane=lane, spec=spec))
+        """The eligible workers of a step that are in its preferred rack."""
+        key = ("rack", *self.requirements_of(lane=lane, spec=spec))
         if key not in self.cache:
-            by = self.cache[key] = {}
-            for w in self.could(lane=lane, spec=spec):
-                by.setdefault(w.rack, []).append(w)
+            by_rack = self.cache[key] = {}
+            for worker in self.eligible_workers(lane=lane, spec=spec):
+                by_rack.setdefault(worker.rack, []).append(worker)
         return self.cache[key].get(spec["near"], ())
 
-    def rank_of(self, *, workers, room):
-        out, whys, gone = [], set(), self.rec.evacuated
-        for w in workers:
-            if w.state != UP:
-                whys.add("worker")
-            elif w.zone in gone:
-                whys.add("evacuated")
-            elif self.now < w.flaky:
-                whys.add("probation")
-            elif w.id in self.slow:
-                whys.add("slow")
-            elif not has_room(worker=w, room=room):
-                whys.add("room")
+    def rank(self, *, workers, room):
+        """As ranked_workers, of these workers. The best one is neither suspected nor held back and has the
+        least room left."""
+        ranked, reasons, evacuated = [], set(), self.rec.evacuated
+        for worker in workers:
+            if worker.state != UP:
+                reasons.add("worker")
+            elif worker.zone in evacuated:
+                reasons.add("evacuated")
+            elif self.now < worker.flaky:
+                reasons.add("probation")
+            elif worker.id in self.slow:
+                reasons.add("slow")
+            elif not has_room(worker=worker, room=room):
+                reasons.add("room")
             else:
-                left = (
-                    max((w.room[i] - w.used[i] - room[i]) / w.room[i] for i in range(3) if w.room[i])
-                    if any(w.room)
+                free_share = (
+                    max(
+                        (worker.room[i] - worker.used[i] - room[i]) / worker.room[i]
+                        for i in range(3)
+                        if worker.room[i]
+                    )
+                    if any(worker.room)
                     else 0.0
                 )
-                out.append(((w.id in self.doubt, w.id in self.kept, left, w.id), w))
-        out.sort(key=lambda x: x[0], reverse=True)
-        return out, whys, bool(workers)
+                ranked.append(
+                    ((worker.id in self.suspected, worker.id in self.kept, free_share, worker.id), worker)
+                )
+        ranked.sort(key=lambda x: x[0], reverse=True)
+        return ranked, reasons, bool(workers)
 
-    def trusts(self, *, task, worker):
-        """Whether t may go to w first of all: what has failed goes where nothing is doubted."""
+    def is_trusted_for(self, *, task, worker):
+        """Whether a worker is a first choice for a task: a task that failed goes to workers that are neither
+        suspected nor on trial."""
         return worker.id not in task.bad and not (
-            task.fails and (worker.id in self.doubt or worker.id in self.trials)
+            task.fails and (worker.id in self.suspected or worker.id in self.trials)
         )
 
-    def alike(self, *, shape, near):
-        """Whether a shape that found no room is over for this round. One that waits for its
-        rack says nothing of others who have waited enough: a few more of it are looked at."""
+    def is_shape_refused(self, *, shape, near):
+        """Whether a shape that found no room is not tried again in this round. A step that still waits for
+        its rack tells nothing about steps that waited long enough, so NEAR_LOOKS of them are tried."""
         self.near_looks[shape] = self.near_looks.get(shape, 0) + near
         return not near or self.near_looks[shape] >= constants.NEAR_LOOKS
 
-    def scan(self, *, task, step, k, lane, shape):
-        """The best worker for t: (it, '', _) or (None, why, whether any other step of this
-        shape would fare alike)."""
-        sp = step.spec
-        near = bool(sp.get("near")) and self.now - (task.at >> constants.LOGICAL_BITS) < self.patience(
-            spec=sp, lane=lane
+    def scan_workers(self, *, task, step, step_key, lane, shape):
+        """The best worker for a task: (worker, "", _) or (None, reason, whether the same holds for every
+        other step of this shape)."""
+        spec = step.spec
+        near = bool(spec.get("near")) and self.now - (task.at >> constants.LOGICAL_BITS) < self.rack_wait_ms(
+            spec=spec, lane=lane
         )
         key = (shape, lane, near)
         if key not in self.ranked:
-            self.ranked[key] = self.rank(step=step, lane=lane, near=near)
-        xs, whys, any_ = self.ranked[key]
-        if not any_:
+            self.ranked[key] = self.ranked_workers(step=step, lane=lane, near=near)
+        ranked, reasons, any_eligible = self.ranked[key]
+        if not any_eligible:
             return None, "never", True
-        first = second = None
-        here, i = set(), len(xs)
-        while i:
-            i -= 1
-            w = xs[i][1]
-            if not has_room(worker=w, room=sp["room"]):
-                del xs[i]
-                whys.add("room")
+        unproven = untrusted = None
+        refusals, index = set(), len(ranked)
+        while index:
+            index -= 1
+            worker = ranked[index][1]
+            if not has_room(worker=worker, room=spec["room"]):
+                del ranked[index]
+                reasons.add("room")
                 continue
-            why = self.unfit(step, w, k, lane)
-            if why:
-                here.add(why)
-            elif not self.trusts(task=task, worker=w):
-                second = second or w
-            elif not task.fails or not self.proven or w.id in self.proven:
-                return w, "", True
+            reason = self.unfit(step, worker, step_key, lane)
+            if reason:
+                refusals.add(reason)
+            elif not self.is_trusted_for(task=task, worker=worker):
+                untrusted = untrusted or worker
+            elif not task.fails or not self.proven or worker.id in self.proven:
+                return worker, "", True
             else:
-                first = first or w
-        if first is not None:
-            return first, "", True
-        if second is not None:
+                unproven = unproven or worker
+        if unproven is not None:
+            return unproven, "", True
+        if untrusted is not None:
             if (
-                task.fails + 1 >= sp["maxFailures"]
+                task.fails + 1 >= spec["maxFailures"]
                 and self.now - (task.at >> constants.LOGICAL_BITS) < constants.RETRY_WAIT_MS
-                and second.id in self.doubt
+                and untrusted.id in self.suspected
             ):
                 return None, "slow", False
-            return second, "", True
-        here |= whys
+            return untrusted, "", True
+        refusals |= reasons
         return (
             None,
-            next((x for x in WHYS if x in here), "room"),
-            self.alike(shape=shape, near=near) and "spread" not in here and k not in self.kept.values(),
+            next((reason for reason in REASONS if reason in refusals), "room"),
+            self.is_shape_refused(shape=shape, near=near)
+            and "spread" not in refusals
+            and step_key not in self.kept.values(),
         )
--- a/hollowhall/desk/gather.py
+++ b/hollowhall/desk/gather.py
@@ -1,14 +1,16 @@
-"""Placement of gangs: all members at once or none. One that wants a single rack waits
-for one, for about as long as running across racks would cost it; one that waits long
-gets workers kept for it, so that small tasks do not take each room as it comes free."""
+"""Placement of gangs: all members at once or none.
+
+A gang that wants a single rack waits for one about as long as running across racks would cost it.
+Workers are held back for a gang that waits long; otherwise small tasks would take all room that becomes
+free."""
 
 from ..base import constants
 from ..record.kinds import UP, Leg
 from .fit import has_room, in_use
 
 
-def fits(*, worker, room, empty=False):
-    """How many such rooms a worker has free, or would have if it were empty."""
+def rooms_that_fit(*, worker, room, empty=False):
+    """How many tasks of this size a worker has room for now, or would have if it were empty."""
     return (
         min((worker.room[i] - (0 if empty else worker.used[i])) // room[i] for i in range(3) if room[i])
         if any(room)
@@ -17,137 +19,162 @@
 
 
 class GatherMixin:
-    def members_of(self, *, step, worker, empty=False):
-        n, per = fits(worker=worker, room=step.spec["room"], empty=empty), step.spec["perWorker"]
-        return max(0, min(n, per - (0 if empty else step.on.get(worker.id, 0))) if per else n)
+    """Placement of gangs within a round."""
+
+    def member_places(self, *, step, worker, empty=False):
+        """How many members of a gang a worker can take, by its room and the step's limit per worker."""
+        count, limit = (
+            rooms_that_fit(worker=worker, room=step.spec["room"], empty=empty),
+            step.spec["perWorker"],
+        )
+        return max(0, min(count, limit - (0 if empty else step.on.get(worker.id, 0))) if limit else count)
 
-    def gang(self, *, k, q, lane):
-        """Places a gang whole; True if it was placed."""
-        s = self.rec.jobs[k[0]].steps[k[1]]
-        sp, n = s.spec, s.spec["tasks"]
-        if len(q) < n:
-            self.why[k] = "due"
+    def place_gang(self, *, step_key, due_tasks, lane):
+        """Starts all members of a gang; True if it was placed."""
+        step = self.rec.jobs[step_key[0]].steps[step_key[1]]
+        spec, size = step.spec, step.spec["tasks"]
+        if len(due_tasks) < size:
+            self.reasons[step_key] = "due"
             return False
-        why = self.tenant_refusal(job=k[0], step=k[1])
-        if why:
-            self.why[k] = why
+        reason = self.tenant_refusal(job=step_key[0], step=step_key[1])
+        if reason:
+            self.reasons[step_key] = reason
             return False
-        waited = self.now - (self.rec.ready[k][0].at >> constants.LOGICAL_BITS)
-        far = not sp.get("tight") or self.goes_far(k=k, spec=sp, lane=lane, waited=waited)
-        # what found no room in this round leaves none for as many of that shape
-        key = (*self.key_of(spec=sp, lane=lane), sp["perWorker"], far)
-        mine = k in self.kept.values()
+        waited = self.now - (self.rec.ready[step_key][0].at >> constants.LOGICAL_BITS)
+        across_racks = not spec.get("tight") or self.may_cross_racks(
+            step_key=step_key, spec=spec, lane=lane, waited=waited
+        )
+        # once a gang of this shape has found no room in this round, none of at least its size finds any
+        key = (*self.requirements_of(spec=spec, lane=lane), spec["perWorker"], across_racks)
+        held = step_key in self.kept.values()
         if (
-            n >= self.gangless.get(key, n + 1)
-            and not mine
-            and (waited <= constants.GANG_STARVE_MS or self.starved.get(key, 0) >= constants.GANGS_STARVED)
+            size >= self.unplaced_gangs.get(key, size + 1)
+            and not held
+            and (
+                waited <= constants.GANG_STARVE_MS
+                or self.starving_gangs.get(key, 0) >= constants.GANGS_STARVED
+            )
         ):
-            self.why[k] = "room"
+            self.reasons[step_key] = "room"
             return False
-        if not mine and not self.leaves_headroom(
-            kind=self.rec.kind_of(lane=lane, spec=sp), lane=lane, rooms=[n * x for x in sp["room"]]
+        if not held and not self.leaves_headroom(
+            kind=self.rec.kind_of(lane=lane, spec=spec),
+            lane=lane,
+            rooms=[size * amount for amount in spec["room"]],
         ):
-            self.why[k] = "headroom"
+            self.reasons[step_key] = "headroom"
             return False
-        could, total, racks = self.racks_of(step=s, lane=lane)
-        if total < n:
-            self.why[k] = "never"
+        eligible, capacity, racks = self.gang_capacity(step=step, lane=lane)
+        if capacity < size:
+            self.reasons[step_key] = "never"
             return False
-        sets = [ws for m, ws in racks if m >= n]
-        free = {
-            w.id: m
-            for w in could
-            if has_room(worker=w, room=sp["room"])
-            and (m := self.members_of(step=s, worker=w)) > 0
-            and not self.unfit(s, w, k, lane)
+        worker_sets = [workers for count, workers in racks if count >= size]
+        places = {
+            worker.id: count
+            for worker in eligible
+            if has_room(worker=worker, room=spec["room"])
+            and (count := self.member_places(step=step, worker=worker)) > 0
+            and not self.unfit(step, worker, step_key, lane)
         }
-        sure = {i: m for i, m in free.items() if i not in self.doubt}
-        if sum(sure.values()) >= n:
-            free = sure  # a gang fails whole where one member does
-        far = far or not sets
-        now = [(sum(free.get(w.id, 0) for w in ws), i) for i, ws in enumerate(sets)]
-        now = [x for x in now if x[0] >= n]
-        if now:
-            self.take_gang(k=k, step=s, workers=sets[min(now)[1]], free=free, lane=lane)
+        trusted = {worker_id: count for worker_id, count in places.items() if worker_id not in self.suspected}
+        if sum(trusted.values()) >= size:
+            places = trusted  # if one member fails, the whole gang fails
+        across_racks = across_racks or not worker_sets
+        fitting = [
+            (sum(places.get(worker.id, 0) for worker in workers), index)
+            for index, workers in enumerate(worker_sets)
+        ]
+        fitting = [entry for entry in fitting if entry[0] >= size]
+        if fitting:
+            self.start_gang(
+                step_key=step_key, step=step, workers=worker_sets[min(fitting)[1]], places=places, lane=lane
+            )
             return True
-        if far and sum(free.values()) >= n:
-            self.take_gang(k=k, step=s, workers=could, free=free, lane=lane)
+        if across_racks and sum(places.values()) >= size:
+            self.start_gang(step_key=step_key, step=step, workers=eligible, places=places, lane=lane)
             return True
-        self.why[k] = "room"
-        if not mine:
-            self.gangless[key] = min(n, self.gangless.get(key, n))
+        self.reasons[step_key] = "room"
+        if not held:
+            self.unplaced_gangs[key] = min(size, self.unplaced_gangs.get(key, size))
         if waited > constants.GANG_STARVE_MS:
-            self.starved[key] = self.starved.get(key, 0) + (not mine)
+            self.starving_gangs[key] = self.starving_gangs.get(key, 0) + (not held)
             if self.policy.reserve_gangs:
-                self.reserve_gang(k=k, step=s, sets=[could] if far else sets, lane=lane)
+                self.reserve_gang(
+                    step_key=step_key, step=step, sets=[eligible] if across_racks else worker_sets, lane=lane
+                )
         return False
 
-    def goes_far(self, *, k, spec, lane, waited):
-        """Whether a gang that wants one rack runs across racks: it has waited as long as that is
-        worth, and what is held back for it in one rack is not about to be free."""
-        patience = self.patience(spec=spec, lane=lane)
-        if waited <= patience:
+    def may_cross_racks(self, *, step_key, spec, lane, waited):
+        """Whether a gang that wants one rack may run across racks: it has waited as long as waiting pays, and
+        the workers held back for it in one rack will not be free soon."""
+        wait_ms = self.rack_wait_ms(spec=spec, lane=lane)
+        if waited <= wait_ms:
             return False
-        usual = self.usual.get(lane) or spec.get("estimateMs") or constants.FAR_MS
-        soon = self.kept_until.get(k, 0) - self.now
-        held = self.policy.drain_estimates and 0 < soon < (self.far - 1) * usual
-        return not held or self.half_idle(self.rec.kind_of(lane=lane, spec=spec))
+        usual_ms = self.usual_ms.get(lane) or spec.get("estimateMs") or constants.FAR_MS
+        drain_ms = self.kept_until.get(step_key, 0) - self.now
+        held = self.policy.drain_estimates and 0 < drain_ms < (self.far_factor - 1) * usual_ms
+        return not held or self.is_half_idle(self.rec.kind_of(lane=lane, spec=spec))
 
-    def racks_of(self, *, step, lane):
-        """What a gang like this could have if nothing ran, looked through once a round: (the
-        workers, members they hold in all, by rack: members on its sound workers, its workers)."""
-        sp = step.spec
-        key = (*self.key_of(spec=sp, lane=lane), sp["perWorker"])
-        if key not in self.racked:
-            could, racks, total = [], {}, 0
-            for w in self.could(lane=lane, spec=sp):
-                if w.state == UP and w.zone not in self.rec.evacuated:
-                    m, x = self.members_of(step=step, worker=w, empty=True), racks.setdefault(w.rack, [0, []])
-                    could.append(w)
-                    total += m
-                    x[0] += m if self.sound(w) else 0
-                    x[1].append(w)
-            self.racked[key] = could, total, [x for _, x in sorted(racks.items())]
-        return self.racked[key]
+    def gang_capacity(self, *, step, lane):
+        """What an empty fleet could hold of a gang, computed once per round: (the eligible workers, the
+        members they can hold in total, [[members that fit on workers that accept starts, workers]] by
+        rack)."""
+        spec = step.spec
+        key = (*self.requirements_of(spec=spec, lane=lane), spec["perWorker"])
+        if key not in self.gang_capacities:
+            eligible, racks, total = [], {}, 0
+            for worker in self.eligible_workers(lane=lane, spec=spec):
+                if worker.state == UP and worker.zone not in self.rec.evacuated:
+                    places, rack = (
+                        self.member_places(step=step, worker=worker, empty=True),
+                        racks.setdefault(worker.rack, [0, []]),
+                    )
+                    eligible.append(worker)
+                    total += places
+                    rack[0] += places if self.accepts_starts(worker) else 0
+                    rack[1].append(worker)
+            self.gang_capacities[key] = eligible, total, [rack for _, rack in sorted(racks.items())]
+        return self.gang_capacities[key]
 
-    def patience(self, *, spec, lane):
-        """How long to wait for a room near by, rather than run where it takes longer."""
+    def rack_wait_ms(self, *, spec, lane):
+        """How many ms to wait for room in the preferred rack, instead of running slower elsewhere."""
         if not self.policy.rack_patience:
             return 0
         ms = (
             constants.FAR_PART
-            * (self.far - 1)
-            * (self.usual.get(lane) or spec.get("estimateMs") or constants.FAR_MS)
+            * (self.far_factor - 1)
+            * (self.usual_ms.get(lane) or spec.get("estimateMs") or constants.FAR_MS)
         )
-        if ms <= constants.FAR_MOST_MS or not self.half_idle(self.rec.kind_of(lane=lane, spec=spec)):
+        if ms <= constants.FAR_MOST_MS or not self.is_half_idle(self.rec.kind_of(lane=lane, spec=spec)):
             return ms
         return constants.FAR_MOST_MS
 
-    def half_idle(self, kind):
-        """Whether less than half of a kind's room is in use: then no job need stand for want
-        of a rack. Where more is, running far away only makes the crowd longer."""
-        if kind not in self.idle:
-            self.idle[kind] = in_use(self.kinds.get(kind, ())) < 0.5
-        return self.idle[kind]
+    def is_half_idle(self, kind):
+        """Whether less than half of a kind's room is in use: then no job needs to wait for a rack. In a
+        fuller fleet, running slower in another rack only makes the backlog longer."""
+        if kind not in self.idle_kinds:
+            self.idle_kinds[kind] = in_use(self.kinds.get(kind, ())) < 0.5
+        return self.idle_kinds[kind]
 
-    def take_gang(self, *, k, step, workers, free, lane):
-        out = []
-        for w in sorted(workers, key=lambda w: (-free.get(w.id, 0), w.id)):
-            out += [w] * min(free.get(w.id, 0), step.spec["tasks"] - len(out))
-        for i, w in enumerate(out):
+    def start_gang(self, *, step_key, step, workers, places, lane):
+        """Starts a gang on as few of the workers as possible. places: {worker id: members it can take}."""
+        chosen = []
+        for worker in sorted(workers, key=lambda worker: (-places.get(worker.id, 0), worker.id)):
+            chosen += [worker] * min(places.get(worker.id, 0), step.spec["tasks"] - len(chosen))
+        for number, worker in enumerate(chosen):
             member = Leg(
-                run=-len(self.trial) - 1,
-                task=f"{k[0]}/{k[1]}/{i}",
-                job=k[0],
-                step=k[1],
-                worker=w.id,
+                run=-len(self.started) - 1,
+                task=f"{step_key[0]}/{step_key[1]}/{number}",
+                job=step_key[0],
+                step=step_key[1],
+                worker=worker.id,
                 lane=lane,
                 room=step.spec["room"],
             )
-            self.note_taken(worker=w, room=step.spec["room"])
-            self.try_start(member)
-        for x in [x for x, y in self.kept.items() if y == k]:
-            del self.kept[x]
-        self.why.pop(k, None)
-        self.gangs.append((*k, [w.id for w in out]))
-        self.placed += len(out)
+            self.note_taken(worker=worker, room=step.spec["room"])
+            self.count_start(member)
+        for held_id in [held_id for held_id, holder in self.kept.items() if holder == step_key]:
+            del self.kept[held_id]
+        self.reasons.pop(step_key, None)
+        self.gangs.append((*step_key, [worker.id for worker in chosen]))
+        self.members_placed += len(chosen)
--- a/hollowhall/desk/order.py
+++ b/hollowhall/desk/order.py
@@ -1,6 +1,9 @@
-"""The order in which waiting steps are looked at: within a queue, first what can still end by its aim,
-then what is late but not yet of no use, then the rest; within each, steps of the tenant that has the
-smallest share of the room for its weight; of one tenant, the oldest. Oldest first alone keeps everybody late once a queue is behind: room goes to what can earn no more (docs/decisions.md)."""
+"""The order in which waiting steps are tried.
+
+Within a queue: first steps of jobs that can still end by their aim, then of jobs that are late but still
+of use, then the rest; within each of these, steps of the tenant with the smallest weighted share of the
+room; of one tenant, the oldest. With the oldest first alone, every job is late once a queue has fallen
+behind, since room goes to jobs that can no longer end in time (docs/decisions.md)."""
 
 from heapq import heapify, heappop, heappush, heapreplace
 from typing import NamedTuple
@@ -8,12 +11,12 @@
 from ..record.jobs import shape_of
 from .standings import IN_AIM
 
-HELD_FOR = -1  # index of a step that workers are held back for: it stands beside its shape's line
+HELD_FOR = -1  # index of a step that workers are held back for; its heap entry is separate from its line's
 
 
 class Waiting(NamedTuple):
-    """A step in its queue's heap; `index` is its place in the line of its shape and tenant, `share` the
-    weighted share of the room that its tenant had when it came here."""
+    """A step in its queue's heap. `index` is its position in the line of its shape and tenant; `share` the
+    weighted share of the room that its tenant had when the entry was made."""
 
     standing: int
     share: float
@@ -26,60 +29,66 @@
 
 
 class OrderMixin:
-    """Heaps of waiting steps, one for each queue."""
+    """Heaps of waiting steps, one per queue. A line is the waiting steps of one shape and tenant."""
 
     def standing(self, *, job, step):
-        """IN_AIM, LATE or TOO_LATE: what the job can still come to if this step began now, by the
-        caller's estimates; IN_AIM where its queue names no aim."""
+        """IN_AIM, LATE or TOO_LATE: when the job would end if this step started now, by the client's
+        estimates; IN_AIM if its queue has no aim."""
         if self.aims is None or not self.policy.order_by_aim:
             return IN_AIM
         return self.aims.standing(job=self.rec.jobs[job], step=step, now=self.now)
 
     def ordered(self, *, lane, key):
-        """The waiting steps of a line as [(standing, stamp, job, step)], in their order. key: the
-        line's shape and tenant."""
-        if (lane, key) not in self.orders:
+        """The waiting steps of a line as [(standing, stamp, job, step)], sorted. key: the line's shape and
+        tenant."""
+        if (lane, key) not in self.sorted_lines:
             line = self.rec.lines[lane][key]
-            self.orders[lane, key] = sorted((self.standing(job=k[1], step=k[2]), *k) for k in line)
-        return self.orders[lane, key]
+            self.sorted_lines[lane, key] = sorted(
+                (self.standing(job=entry[1], step=entry[2]), *entry) for entry in line
+            )
+        return self.sorted_lines[lane, key]
 
     def waiting(self, *, lane, key, index):
-        """The step at a place of a line."""
+        """The heap entry of the step at a position of a line."""
         shape, tenant = key
         standing, stamp, job, step = self.ordered(lane=lane, key=key)[index]
         return Waiting(standing, self.tenant_share(tenant), stamp, job, step, index, shape, tenant)
 
-    def line(self, lane):
-        """A queue's ready steps as a heap: the head of each line, for where a shape finds no worker
-        none behind the head does; and the steps that workers are held back for, which may fit there
-        all the same."""
-        h = [self.waiting(lane=lane, key=key, index=0) for key in self.rec.lines[lane]]
+    def heap_of(self, lane):
+        """A queue's ready steps as a heap. It has only the head of each line, since a shape that finds no
+        worker finds none for the steps behind the head either; and the steps that workers are held back
+        for, which may start on these all the same."""
+        heap = [self.waiting(lane=lane, key=key, index=0) for key in self.rec.lines[lane]]
         for job, step in dict.fromkeys(self.kept.values()):
-            j = self.rec.jobs[job]
-            if j.lane == lane:
-                shape, share = shape_of(j.steps[step].spec), self.tenant_share(j.tenant)
+            held_job = self.rec.jobs[job]
+            if held_job.lane == lane:
+                shape, share = shape_of(held_job.steps[step].spec), self.tenant_share(held_job.tenant)
                 standing = self.standing(job=job, step=step)
-                h.append(Waiting(standing, share, j.stamp, job, step, HELD_FOR, shape, j.tenant))
-        heapify(h)
-        return h
+                heap.append(
+                    Waiting(standing, share, held_job.stamp, job, step, HELD_FOR, shape, held_job.tenant)
+                )
+        heapify(heap)
+        return heap
 
-    def first_of(self, h):
-        """The step on top of a heap, once each that comes there stands where its tenant's share of
-        the room, which grows with each start, has put it by now."""
-        while (share := self.tenant_share(h[0].tenant)) > h[0].share:
-            heapreplace(h, h[0]._replace(share=share))
-        return h[0]
+    def top_of(self, heap):
+        """The first step of a heap, after entries with an outdated share have been moved down: a tenant's
+        share grows with each start."""
+        while (share := self.tenant_share(heap[0].tenant)) > heap[0].share:
+            heapreplace(heap, heap[0]._replace(share=share))
+        return heap[0]
 
     def refusal(self, *, lane, shape):
-        """Why steps of this queue and shape find nothing in this round; '' where they may."""
-        directed = self.directed(lane=lane, shape=shape)
-        return self.failed.get(directed, "headroom" if (lane, directed) in self.must_leave else "")
+        """Why steps of this queue and shape find no worker in this round; "" if they may."""
+        effective = self.effective_shape(lane=lane, shape=shape)
+        return self.refused_shapes.get(
+            effective, "headroom" if (lane, effective) in self.headroom_refusals else ""
+        )
 
-    def next(self, h, lane):
-        """The step on top of a heap is over for this round: on to the one behind it."""
-        top = heappop(h)
+    def next(self, heap, lane):
+        """Removes the first step of a heap for this round and adds the one behind it in its line."""
+        top = heappop(heap)
         key, index = (top.shape, top.tenant), top.index + 1
         if top.index == HELD_FOR or self.refusal(lane=lane, shape=top.shape):
             return
         if index < len(self.ordered(lane=lane, key=key)) and not self.line_over(top):
-            heappush(h, self.waiting(lane=lane, key=key, index=index))
+            heappush(heap, self.waiting(lane=lane, key=key, index=index))
--- a/hollowhall/desk/orders.py
+++ b/hollowhall/desk/orders.py
@@ -1,32 +1,36 @@
-"""What a worker is told to start and to stop: the record's attempts on it, beside what it reports to run.
-What was granted and has not begun is taken back where it may not begin any more: the worker leaves,
-its zone is evacuated, or the limit of the attempt's tenant was lowered below what the tenant has
-running. The worker reports such an attempt as not started, and its task is ready again."""
+"""What a worker is told to start and to stop: the difference between the record's attempts on it and what
+it reports to run.
+
+An attempt that was granted and has not begun is revoked if it may no longer begin: the worker leaves, its
+zone is evacuated, or the limit of the attempt's tenant was lowered below what the tenant has running. The
+worker reports such an attempt as not started, and its task is ready again."""
 
 from ..record.kinds import LEAVES
 
 
 class OrdersMixin:
-    """Starts and stops of a worker."""
+    """The orders for a worker: attempts to start and to stop."""
 
     def orders(self, *, worker_id, session):
-        """(starts, stops) that stand for this worker now."""
-        w = self.record.workers.get(worker_id)
-        if w is None or w.boot != session.boot or session.going:
+        """(runs to start, runs to stop) for a worker now; stops only, if its session is outdated or it is
+        being given up."""
+        worker = self.record.workers.get(worker_id)
+        if worker is None or worker.boot != session.boot or session.going:
             return [], sorted(session.running)
-        starts, stops = [], sorted(session.running - w.runs.keys())
-        for run, g in w.runs.items():
+        starts, stops = [], sorted(session.running - worker.runs.keys())
+        for run, attempt in worker.runs.items():
             if session.unsettled(run):
                 continue
-            if g.stop or run not in session.running and self.taken_back(attempt=g, worker=w):
+            if attempt.stop or run not in session.running and self.taken_back(attempt=attempt, worker=worker):
                 stops.append(run)
             elif run not in session.running:
                 starts.append(run)
         return starts, stops
 
     def taken_back(self, *, attempt, worker):
-        """Whether an attempt that has not begun need not."""
-        if self.takes_none(worker):
+        """Whether an attempt that has not begun is revoked. Members of its gang that have begun are
+        stopped."""
+        if self.accepts_no_starts(worker):
             return True
         if not self.record.over_limit(attempt):
             return False
@@ -34,12 +38,12 @@
             self.take_gang_back(attempt)
         return True
 
-    def takes_none(self, worker):
-        """Whether a worker may begin nothing more: it leaves, or its zone is evacuated."""
+    def accepts_no_starts(self, worker):
+        """Whether a worker may start nothing more: it leaves, or its zone is evacuated."""
         return worker.state == LEAVES or worker.zone in self.record.evacuated
 
     def take_gang_back(self, attempt):
-        """Members that have begun wait for the others: they are stopped rather than left alone."""
+        """Stops the members of a gang whose other members are revoked: they would wait for these for ever."""
         for member in self.record.gang_of(attempt):
             if not member.stop and member.run not in self.gangs_taken_back:
                 self.gangs_taken_back.add(member.run)
@@ -49,7 +53,8 @@
                 )
 
     def start_card(self, attempt):
-        s = self.record.jobs[attempt.job].steps[attempt.step].spec
+        """What a worker needs in order to start an attempt."""
+        spec = self.record.jobs[attempt.job].steps[attempt.step].spec
         return {
             "runId": str(attempt.run),
             "task": attempt.task,
@@ -58,6 +63,6 @@
             "cores": attempt.room[0],
             "memMb": attempt.room[1],
             "gpus": attempt.room[2],
-            "runMs": s["runMs"],
-            "work": s["work"],
+            "runMs": spec["runMs"],
+            "work": spec["work"],
         }
--- a/hollowhall/desk/pace.py
+++ b/hollowhall/desk/pace.py
@@ -1,8 +1,9 @@
-"""What the attempts themselves tell of workers and of work. Ends tell how long a lane's
-tasks take; progress in the beats tells which attempts go far slower than others of their
-step, or stand still. A worker on which most do so is set aside for a while, and what it
-holds is begun again elsewhere where that is sooner than waiting for it. All of it is
-evidence already paid for; it decays, and a worker that was set aside is tried again."""
+"""Progress estimates of running attempts, and what follows from them.
+
+Successful ends tell how long a queue's tasks take; the progress reported with heartbeats tells which
+attempts run far slower than others of their step, or stand still. A worker on which most attempts do so
+gets no starts for a while, and its attempts are started again elsewhere if they would end sooner there.
+None of this costs extra messages. Evidence decays, and a worker that was set aside is tried again."""
 
 from math import log
 from statistics import median
@@ -12,22 +13,28 @@
 
 
 class PaceMixin:
+    """Finds slow workers and rescues their attempts."""
+
     def open_pace(self):
+        # by queue: moving average of its tasks' ms; by worker set aside: (ratio, until s); by run: ms of its
+        # rescue
         self.lane_ms, self.slow, self.rescued = {}, {}, {}
 
     def note_pace(self, *, events, ms):
-        """Good ends of a turn that is about to be applied: how long a lane's tasks take."""
+        """Learns how long a queue's tasks take from the successful ends of a batch that is about to be
+        applied."""
         if not self.policy.learned_durations:
             return
-        for ev in events:
-            g = self.record.legs.get(ev[1]) if ev[0] == "end" and ev[2] == "ok" else None
-            if g is not None:
-                took = max(1.0, (ms - (g.run >> constants.LOGICAL_BITS)) / self.stretch(g))
-                was = self.lane_ms.get(g.lane, took)
-                self.lane_ms[g.lane] = was + constants.PACE_NEW * (took - was)
+        for event in events:
+            attempt = self.record.legs.get(event[1]) if event[0] == "end" and event[2] == "ok" else None
+            if attempt is not None:
+                took_ms = max(1.0, (ms - (attempt.run >> constants.LOGICAL_BITS)) / self.stretch(attempt))
+                previous_ms = self.lane_ms.get(attempt.lane, took_ms)
+                self.lane_ms[attempt.lane] = previous_ms + constants.PACE_NEW * (took_ms - previous_ms)
 
     def stretch(self, attempt):
-        """How much longer an attempt takes for standing away from its data, or from its gang."""
+        """How many times longer an attempt takes because it runs in another rack than its data, or than
+        others of its gang."""
         step = self.record.jobs[attempt.job].steps[attempt.step]
         near = step.spec.get("near")
         far = bool(near) and self.record.workers[attempt.worker].rack != near
@@ -35,152 +42,180 @@
         return self.params.far_times if far else 1.0
 
     def rates(self, *, now, ms):
-        """Each attempt's progress, as [(attempt, percent a ms, percent, still)]; by step. It is told
-        by beats, so it counts up to when its worker was last heard: silence is not standing still."""
-        out = {}
-        for i, h in self.sessions.items():
-            w = self.record.workers.get(i)
-            if w is None or not h.named:
+        """The progress of attempts: {(job, step): [(attempt, percent per ms, percent, stalled)]}, where
+        stalled is 0, 1 or 2 (for long). Progress comes with heartbeats, so it is judged as of the worker's
+        last one: a silent worker is not a stalled one."""
+        by_step = {}
+        for worker_id, session in self.sessions.items():
+            worker = self.record.workers.get(worker_id)
+            if worker is None or not session.named:
                 continue
-            told = min(now, h.heard)
-            for run, (percent, since, first, at) in h.far.items():
-                g = w.runs.get(run)
-                if g is None or g.stop or self.record.jobs[g.job].steps[g.step].spec.get("forever"):
-                    continue  # one that is being stopped stands still, too
-                age = (told - at) * 1000  # one that resumed begins with some percents
-                if age < constants.PACE_AGE_MS or percent >= constants.PACE_THROUGH:
-                    continue  # through, a gang's member stands still for the others
-                r = max(percent - first, 0.5) / age
-                # one more percent is overdue by this many times what each took so far
-                still = (told - since) * 1000 * r > constants.STILL_STEPS and told - since > constants.STILL_S
-                still = still + (still and told - since > constants.STILL_SURE)
-                out.setdefault((g.job, g.step), []).append((g, r * self.stretch(g), percent, still))
-        return out
+            heard_at = min(now, session.heard)
+            for run, (percent, changed_at, first_percent, first_at) in session.far.items():
+                attempt = worker.runs.get(run)
+                if (
+                    attempt is None
+                    or attempt.stop
+                    or self.record.jobs[attempt.job].steps[attempt.step].spec.get("forever")
+                ):
+                    continue  # an attempt that is being stopped makes no progress either
+                age_ms = (heard_at - first_at) * 1000  # a resumed attempt starts above 0 percent
+                if age_ms < constants.PACE_AGE_MS or percent >= constants.PACE_THROUGH:
+                    continue  # a finished member of a gang stands still until the others end
+                rate = max(percent - first_percent, 0.5) / age_ms
+                # stalled if the next percent takes STILL_STEPS times as long as each one so far
+                stalled = (
+                    heard_at - changed_at
+                ) * 1000 * rate > constants.STILL_STEPS and heard_at - changed_at > constants.STILL_S
+                stalled = stalled + (stalled and heard_at - changed_at > constants.STILL_SURE)
+                by_step.setdefault((attempt.job, attempt.step), []).append(
+                    (attempt, rate * self.stretch(attempt), percent, stalled)
+                )
+        return by_step
 
     def look_at_pace(self, *, now, ms):
-        """Sets workers aside whose attempts go far slower than others of their steps."""
-        by, all_ = {}, []
-        for k, xs in self.rates(now=now, ms=ms).items():
-            usual = self.lane_ms.get(self.record.jobs[k[0]].lane)
-            for g, r, percent, still in xs:
-                others = [x[1] for x in xs if x[0].worker != g.worker]
+        """Sets aside workers whose attempts run far slower than others of their steps, and rescues these."""
+        by_worker, progress = {}, []
+        for step_key, entries in self.rates(now=now, ms=ms).items():
+            usual_ms = self.lane_ms.get(self.record.jobs[step_key[0]].lane)
+            for attempt, rate, percent, stalled in entries:
+                others = [entry[1] for entry in entries if entry[0].worker != attempt.worker]
                 if others:
-                    ratio, sure = median(others) / r, 1.0
-                elif usual and not self.record.jobs[k[0]].steps[k[1]].spec.get("gang"):
-                    ratio, sure = 100 / r / usual / constants.PACE_VAGUE, constants.PACE_UNSURE
+                    ratio, certainty = median(others) / rate, 1.0
+                elif usual_ms and not self.record.jobs[step_key[0]].steps[step_key[1]].spec.get("gang"):
+                    ratio, certainty = 100 / rate / usual_ms / constants.PACE_VAGUE, constants.PACE_UNSURE
                 else:
                     continue
-                by.setdefault(g.worker, []).append((ratio, sure, still))
-                all_.append((g, r, percent, still, ratio))
-        for i, xs in by.items():
-            sure = sum(x[1] for x in xs)
-            stuck = sum(x[2] for x in xs)  # one that stands for long counts twice
-            ratio = 2.718 ** (sum(log(max(x[0], 0.05)) * x[1] for x in xs) / sure)
+                by_worker.setdefault(attempt.worker, []).append((ratio, certainty, stalled))
+                progress.append((attempt, rate, percent, stalled, ratio))
+        for worker_id, entries in by_worker.items():
+            certainty = sum(entry[1] for entry in entries)
+            stuck = sum(entry[2] for entry in entries)  # an attempt that has stalled for long counts twice
+            ratio = 2.718 ** (sum(log(max(entry[0], 0.05)) * entry[1] for entry in entries) / certainty)
             if (
-                sure >= 1
-                and (ratio > constants.SLOW_RATIO and len(xs) > 1 or ratio > 2 * constants.SLOW_RATIO)
+                certainty >= 1
+                and (ratio > constants.SLOW_RATIO and len(entries) > 1 or ratio > 2 * constants.SLOW_RATIO)
                 or stuck > 1
-                and stuck * 2 > len(xs)
+                and stuck * 2 > len(entries)
             ):
-                self.set_aside(worker_id=i, now=now, ratio=ratio, stuck=stuck)
-        for i in [i for i, (_, until) in self.slow.items() if until < now]:
-            del self.slow[i]
-        self.rescue(all_=all_, ms=ms)
+                self.set_aside(worker_id=worker_id, now=now, ratio=ratio, stuck=stuck)
+        for worker_id in [worker_id for worker_id, (_, until) in self.slow.items() if until < now]:
+            del self.slow[worker_id]
+        self.rescue(progress=progress, ms=ms)
 
     def set_aside(self, *, worker_id, now, ratio, stuck):
+        """Gives a worker no starts for a while, unless too many of its kind are set aside already."""
         if not self.policy.set_slow_aside:
             return
-        w = self.record.workers[worker_id]
-        kind = [x for x in self.record.workers.values() if x.kind == w.kind and x.state == UP]
+        worker = self.record.workers[worker_id]
+        same_kind = [
+            other for other in self.record.workers.values() if other.kind == worker.kind and other.state == UP
+        ]
         if worker_id not in self.slow:
-            if sum(x.id in self.slow for x in kind) >= len(kind) * constants.ASIDE_PART:
+            if sum(other.id in self.slow for other in same_kind) >= len(same_kind) * constants.ASIDE_PART:
                 return
             self.say(log_events.WORKER_SLOW, worker=worker_id, ratio=round(ratio, 1), stuck=stuck)
-        s = self.note_pace_of(worker_id=worker_id, ms=self.clock_ms()) / 1000
-        self.slow[worker_id] = (ratio, now + s)
+        aside_s = self.note_pace_of(worker_id=worker_id, ms=self.clock_ms()) / 1000
+        self.slow[worker_id] = (ratio, now + aside_s)
 
-    def rescue(self, *, all_, ms):
-        """Begins again elsewhere what a slow worker would end much later than that."""
+    def rescue(self, *, progress, ms):
+        """Starts attempts of slow workers again elsewhere if they would end much sooner there: beside the
+        slow attempt (a copy) where the step allows it, else in its place."""
         if not self.policy.rescue_slow:
             return
         moved = 0
-        self.rescued = {r: n for r, n in self.rescued.items() if r in self.record.legs}
-        for g, r, percent, still, ratio in sorted(all_, key=lambda x: -x[4]):
+        self.rescued = {
+            run: rescued_ms for run, rescued_ms in self.rescued.items() if run in self.record.legs
+        }
+        for attempt, rate, percent, stalled, ratio in sorted(progress, key=lambda entry: -entry[4]):
             if (
-                g.worker not in self.slow
-                or g.stop
-                or g.run in self.rescued
+                attempt.worker not in self.slow
+                or attempt.stop
+                or attempt.run in self.rescued
                 or moved >= constants.RESCUE_MOST
                 or ratio < constants.SLOW_RATIO
-                and not still
+                and not stalled
             ):
                 continue
-            j = self.record.jobs[g.job]
-            sp = j.steps[g.step].spec
-            usual = self.lane_ms.get(g.lane) or sp.get("estimateMs") or constants.FAR_MS
-            left = (100 - percent) / (r / self.stretch(g))
-            again = (
-                min(usual, 100 / (r * ratio)) * ((100 - percent) / 100 if sp.get("saves") else 1.0)
+            job = self.record.jobs[attempt.job]
+            spec = job.steps[attempt.step].spec
+            usual_ms = self.lane_ms.get(attempt.lane) or spec.get("estimateMs") or constants.FAR_MS
+            left_ms = (100 - percent) / (rate / self.stretch(attempt))
+            again_ms = (
+                min(usual_ms, 100 / (rate * ratio)) * ((100 - percent) / 100 if spec.get("saves") else 1.0)
                 + constants.RESCUE_COST_MS
             )
-            if not still and left < 1.5 * again:
+            if not stalled and left_ms < 1.5 * again_ms:
                 continue
             moved += 1
-            self.rescued[g.run] = ms
-            ws = [
-                w
-                for w in self.record.workers.values()
-                if w.kind == self.record.workers[g.worker].kind and w.id != g.worker and w.id not in self.slow
+            self.rescued[attempt.run] = ms
+            candidates = [
+                worker
+                for worker in self.record.workers.values()
+                if worker.kind == self.record.workers[attempt.worker].kind
+                and worker.id != attempt.worker
+                and worker.id not in self.slow
             ]
             if (
-                sp.get("copies")
-                and not sp.get("gang")
-                and self.copy(attempt=g, step=j.steps[g.step], workers=ws, ms=ms)
+                spec.get("copies")
+                and not spec.get("gang")
+                and self.copy(attempt=attempt, step=job.steps[attempt.step], workers=candidates, ms=ms)
             ):
                 continue
-            for x in self.record.legs_of(j) if sp.get("gang") else [g]:
-                if x.step == g.step and not x.stop:
-                    self.hold_event(event=["stop", x.run, "slow"])
+            for member in self.record.legs_of(job) if spec.get("gang") else [attempt]:
+                if member.step == attempt.step and not member.stop:
+                    self.hold_event(event=["stop", member.run, "slow"])
 
     def copy(self, *, attempt, step, workers, ms):
-        """A further attempt beside one that is late; False where no worker has room."""
+        """Starts a second attempt beside a late one; False if that is not allowed or no worker has room."""
         job = self.record.jobs[attempt.job]
         if not self.policy.speculative_copies or self.record.tenant_refusal(job=job, room=attempt.room):
             return False
-        t = job.tasks[attempt.task]
+        task = job.tasks[attempt.task]
         near = step.spec.get("near")
-        fit = [
-            w
-            for w in workers
-            if t.live == 1
-            and not self.record.unfit_worker(step=step, spec=step.spec, worker=w, now=ms, lane=attempt.lane)
-            and not any(x.task == attempt.task for x in w.runs.values())
-            and self.copy_fits(worker=w, step=step, attempt=attempt, ms=ms)
+        candidates = [
+            worker
+            for worker in workers
+            if task.live == 1
+            and not self.record.unfit_worker(
+                step=step, spec=step.spec, worker=worker, now=ms, lane=attempt.lane
+            )
+            and not any(other.task == attempt.task for other in worker.runs.values())
+            and self.copy_fits(worker=worker, step=step, attempt=attempt, ms=ms)
         ]
-        if not fit:
+        if not candidates:
             return False
-        w = min(fit, key=lambda w: (bool(near) and w.rack != near, w.id in t.bad, w.id))
-        self.hold_event(event=["copy", attempt.task, w.id])
+        worker = min(
+            candidates,
+            key=lambda worker: (bool(near) and worker.rack != near, worker.id in task.bad, worker.id),
+        )
+        self.hold_event(event=["copy", attempt.task, worker.id])
         return True
 
     def copy_silent(self, *, now, ms):
-        """Copies of what stands on workers that have not been heard for a while."""
-        n = 0
-        for i, h in self.sessions.items():
-            w = self.record.workers.get(i)
-            if w is None or not h.named or now < h.until - self.lease_s() + constants.SILENT_S:
+        """Starts copies of attempts on workers that have been silent for a while."""
+        copies = 0
+        for worker_id, session in self.sessions.items():
+            worker = self.record.workers.get(worker_id)
+            if (
+                worker is None
+                or not session.named
+                or now < session.until - self.lease_s() + constants.SILENT_S
+            ):
                 continue
-            self.slow[i] = (9.9, now + 1.0)  # nothing new meanwhile
-            for g in list(w.runs.values()):
-                s = self.record.jobs[g.job].steps[g.step]
+            self.slow[worker_id] = (9.9, now + 1.0)  # no starts there meanwhile
+            for attempt in list(worker.runs.values()):
+                step = self.record.jobs[attempt.job].steps[attempt.step]
                 if (
-                    s.spec.get("copies")
-                    and not s.spec.get("gang")
-                    and not g.stop
-                    and g.run not in self.rescued
-                    and n < constants.RESCUE_MOST
+                    step.spec.get("copies")
+                    and not step.spec.get("gang")
+                    and not attempt.stop
+                    and attempt.run not in self.rescued
+                    and copies < constants.RESCUE_MOST
                 ):
-                    ws = [x for x in self.record.workers.values() if x.id not in self.slow]
-                    if self.copy(attempt=g, step=s, workers=ws, ms=ms):
-                        self.rescued[g.run] = ms
-                        n += 1
+                    candidates = [
+                        other for other in self.record.workers.values() if other.id not in self.slow
+                    ]
+                    if self.copy(attempt=attempt, step=step, workers=candidates, ms=ms):
+                        self.rescued[attempt.run] = ms
+                        copies += 1
--- a/hollowhall/desk/placing.py
+++ b/hollowhall/desk/placing.py
@@ -1,5 +1,5 @@
-"""The primary's rounds of placement, one before each decision batch: what a round is told of workers and
-queues, and the events that come of it."""
+"""The primary's rounds of placement, one before each decision batch: the inputs of a round, and the
+events that result from it."""
 
 from ..base import constants
 from ..base.loop_time import in_section
@@ -15,17 +15,19 @@
 
 
 class PlaceMixin(GiveBackMixin, PreemptMixin, HealthMixin, UseMixin):
+    """Runs rounds of placement and keeps what one round leaves to the next."""
+
     policy = DEFAULT
 
     def left_ms_of(self, attempt):
-        """How long an attempt still needs, about, where nothing is known of its progress."""
+        """Estimated ms that an attempt still needs, where its progress is not known."""
         return self.lane_ms.get(attempt.lane, constants.FAR_MS)
 
     def open_place(self):
-        self.kept, self.kept_until, self.fed, self.last_round, self.cache = {}, {}, {}, None, {}
-        self.passed = (
-            set()
-        )  # steps that found nothing in rounds that were cut, and are looked at again after them
+        """Initializes the state that is kept between rounds."""
+        self.kept, self.kept_until, self.last_grant_ms, self.last_round, self.cache = {}, {}, {}, None, {}
+        # steps for which rounds that were cut short found nothing; tried again once the backlog is through
+        self.examined = set()
         self.aims = Aims(rows=lambda: self.record.charter["rows"])
         self.tenant_turns = TenantTurns()
         self.open_use()
@@ -33,23 +35,26 @@
         self.open_health()
         self.open_reserving()
 
-    last_round_s = 0.0  # s; that the last round took
+    last_round_s = 0.0  # duration of the last round in seconds
 
     @in_section("place")
     def place_all(self, *, most, ends=()):
-        """Events of what is to start. `ends`: runs whose ends go before them in this turn."""
-        gs = [g for r in dict.fromkeys(ends) if (g := self.record.legs.get(r)) is not None]
-        for g in gs:
-            self.record.take_room(attempt=g, sign=-1)
+        """The start and stop events of one round. ends: runs whose ends precede these events in the same
+        batch, so that their room counts as free."""
+        ending = [
+            attempt for run in dict.fromkeys(ends) if (attempt := self.record.legs.get(run)) is not None
+        ]
+        for attempt in ending:
+            self.record.take_room(attempt=attempt, sign=-1)
         round_time = RoundTime(seam=self.seam, most=constants.ROUND_S)
-        r = Round(
+        placement_round = Round(
             rec=self.record,
             now=self.clock_ms(),
             most=most,
             kept=self.kept,
             kept_until=self.kept_until,
             left_ms=self.left_ms_of,
-            fed=self.fed,
+            last_grant_ms=self.last_grant_ms,
             far=self.params.far_times,
             slow=self.slow,
             usual=self.lane_ms,
@@ -59,27 +64,40 @@
             peak_use=self.peaks(),
             tenant_turns=self.tenant_turns,
             round_time=round_time,
-            passed=self.passed,
+            examined=self.examined,
             **self.doubted(),
         )
-        self.note_use(ms=r.now)
-        r.open_plan(self.plan_now(ms=r.now))
+        self.note_use(ms=placement_round.now)
+        placement_round.open_plan(self.plan_now(ms=placement_round.now))
         try:
-            out = [["grant", t, w] for t, w in r.run()] + [["gang", *g] for g in r.gangs]
-            self.last_round = r
-            out += self.preempt(r=r, ms=r.now) if self.record.level > 1 else []
-            out += self.give_back(r=r, ms=r.now)
+            events = [["grant", task_id, worker_id] for task_id, worker_id in placement_round.run()] + [
+                ["gang", *gang] for gang in placement_round.gangs
+            ]
+            self.last_round = placement_round
+            events += (
+                self.preempt(placement_round=placement_round, ms=placement_round.now)
+                if self.record.level > 1
+                else []
+            )
+            events += self.give_back(placement_round=placement_round, ms=placement_round.now)
         finally:
-            for g in gs:
-                self.record.take_room(attempt=g, sign=1)
-        self.due_at, self.last_round, self.last_round_s = r.due, r, round_time.took()
-        if r.cut:
-            self.work.set()  # the rest of the backlog
+            for attempt in ending:
+                self.record.take_room(attempt=attempt, sign=1)
+        self.due_at, self.last_round, self.last_round_s = (
+            placement_round.due,
+            placement_round,
+            round_time.took(),
+        )
+        if placement_round.cut_short:
+            self.work.set()  # wakes the batch loop for the rest of the backlog
         else:
-            self.passed.clear()
-        if len(self.fed) > 2 * constants.FED_KEPT:
-            self.fed = dict(sorted(self.fed.items(), key=lambda x: x[1])[-constants.FED_KEPT :])
-        return out
+            self.examined.clear()
+        if len(self.last_grant_ms) > 2 * constants.FED_KEPT:
+            self.last_grant_ms = dict(
+                sorted(self.last_grant_ms.items(), key=lambda item: item[1])[-constants.FED_KEPT :]
+            )
+        return events
 
-    def why_waits(self, k):
-        return self.last_round.why_of(k) if self.last_round is not None else "turn"
+    def why_waits(self, step_key):
+        """Why a ready step waits, according to the last round."""
+        return self.last_round.why_of(step_key) if self.last_round is not None else "turn"
--- a/hollowhall/desk/preempt.py
+++ b/hollowhall/desk/preempt.py
@@ -1,138 +1,179 @@
-"""Room for urgent work by stopping what is less urgent. Only what loses little is stopped:
-an attempt that leaves checkpoints, or has just begun; never a gang's member, nor a task
-that is to run for ever. A step whose tasks are promised room that way waits for it for a
-moment before more is stopped; what was stopped goes on later from its checkpoint."""
+"""Preemption: makes room for urgent work by stopping less urgent attempts.
+
+Only attempts that lose little are stopped: those that write checkpoints or have just begun; never a member
+of a gang, nor a task without an end. A step for which attempts were stopped waits for that room for a
+moment before more are stopped. A stopped task resumes later from its checkpoint."""
 
 from ..base import constants
 from ..record.kinds import UP
 
 
 class PreemptMixin:
+    """Preemption after a round of placement. `promised` is {(job, step): (tasks, until ms)}: the tasks for
+    which attempts are being stopped."""
+
     def open_preempt(self):
         self.promised, self.preempt_at = {}, 0
 
-    def preempt(self, *, r, ms):
-        """Stop events for the steps that round `r` found no room for."""
-        out, rec, rows = [], self.record, self.record.charter["rows"]
+    def preempt(self, *, placement_round, ms):
+        """Stop events for the steps that a round found no room for."""
+        stops, record, rows = [], self.record, self.record.charter["rows"]
         if (
             not self.policy.preemption
             or ms - self.preempt_at < constants.PREEMPT_GAP_MS
-            or len({rows[a]["urgency"] for a in rows}) < 2
+            or len({rows[name]["urgency"] for name in rows}) < 2
         ):
-            return out
-        self.promised = {k: x for k, x in self.promised.items() if x[1] > ms and k in rec.ready}
-        taken, looked = set(), 0
-        for k in dict.fromkeys(r.kept.values()):
-            if k in rec.ready and rec.jobs[k[0]].steps[k[1]].spec.get("gang"):
-                out += self.clear_for(k=k, r=r, ms=ms, most=constants.PREEMPT_MOST - len(out))
-        taken |= {g.run for g in out}
-        for lane in sorted((a for a in rec.lines if a in rows), key=lambda a: -rows[a]["urgency"]):
-            for line in list(rec.lines[lane].values()):
+            return stops
+        self.promised = {
+            step_key: promise
+            for step_key, promise in self.promised.items()
+            if promise[1] > ms and step_key in record.ready
+        }
+        chosen, examined = set(), 0
+        for step_key in dict.fromkeys(placement_round.kept.values()):
+            if step_key in record.ready and record.jobs[step_key[0]].steps[step_key[1]].spec.get("gang"):
+                stops += self.victims_for_gang(
+                    step_key=step_key,
+                    placement_round=placement_round,
+                    ms=ms,
+                    most=constants.PREEMPT_MOST - len(stops),
+                )
+        chosen |= {attempt.run for attempt in stops}
+        for lane in sorted(
+            (name for name in record.lines if name in rows), key=lambda name: -rows[name]["urgency"]
+        ):
+            for line in list(record.lines[lane].values()):
                 for _, job, step in line:
-                    k = (job, step)
-                    looked += 1
+                    step_key = (job, step)
+                    examined += 1
                     if (
-                        len(out) >= constants.PREEMPT_MOST
-                        or looked > constants.PREEMPT_LOOKS
-                        or r.why_of(k) != "room"
+                        len(stops) >= constants.PREEMPT_MOST
+                        or examined > constants.PREEMPT_LOOKS
+                        or placement_round.why_of(step_key) != "room"
                     ):
                         break
-                    out += self.preempt_step(k=k, lane=lane, ms=ms, taken=taken, r=r)
-        if out:
+                    stops += self.preempt_step(
+                        step_key=step_key, lane=lane, ms=ms, taken=chosen, placement_round=placement_round
+                    )
+        if stops:
             self.preempt_at = ms
-        return [["stop", g.run, "room"] for g in out]
+        return [["stop", attempt.run, "room"] for attempt in stops]
 
-    def clear_for(self, *, k, r, ms, most):
-        """What stands on the workers kept for a gang, is less urgent and loses little."""
-        rec, out = self.record, []
-        s = rec.jobs[k[0]].steps[k[1]]
-        row = rec.charter["rows"].get(rec.jobs[k[0]].lane)
-        n, room = s.spec["tasks"], s.spec["room"]
-        for w in [rec.workers[i] for i, x in r.kept.items() if x == k and i in rec.workers]:
-            m = min(n, r.members_of(step=s, worker=w, empty=True))
-            n -= m
-            need = [w.used[i] + m * room[i] - w.room[i] for i in range(3)]
-            need = [need[i] - sum(g.room[i] for g in w.runs.values() if g.stop) for i in range(3)]
-            may = [
-                (self.loss(attempt=g, ms=ms), g.run, g)
-                for g in w.runs.values()
-                if not g.stop and row is not None and self.may_stop(attempt=g, urgency=row["urgency"], ms=ms)
+    def victims_for_gang(self, *, step_key, placement_round, ms, most):
+        """The less urgent attempts that lose little on the workers held back for a gang."""
+        record, victims = self.record, []
+        step = record.jobs[step_key[0]].steps[step_key[1]]
+        row = record.charter["rows"].get(record.jobs[step_key[0]].lane)
+        remaining, room = step.spec["tasks"], step.spec["room"]
+        for worker in [
+            record.workers[worker_id]
+            for worker_id, holder in placement_round.kept.items()
+            if holder == step_key and worker_id in record.workers
+        ]:
+            places = min(remaining, placement_round.member_places(step=step, worker=worker, empty=True))
+            remaining -= places
+            need = [worker.used[i] + places * room[i] - worker.room[i] for i in range(3)]
+            need = [
+                need[i] - sum(attempt.room[i] for attempt in worker.runs.values() if attempt.stop)
+                for i in range(3)
+            ]
+            candidates = [
+                (self.loss(attempt=attempt, ms=ms), attempt.run, attempt)
+                for attempt in worker.runs.values()
+                if not attempt.stop
+                and row is not None
+                and self.may_stop(attempt=attempt, urgency=row["urgency"], ms=ms)
             ]
-            for _, _, g in sorted(may, key=lambda x: x[:2]):
-                if all(x <= 0 for x in need) or len(out) >= most:
+            for _, _, attempt in sorted(candidates, key=lambda candidate: candidate[:2]):
+                if all(amount <= 0 for amount in need) or len(victims) >= most:
                     break
-                if any(need[i] > 0 and g.room[i] > 0 for i in range(3)):
-                    out.append(g)
-                    need = [need[i] - g.room[i] for i in range(3)]
-        return out
+                if any(need[i] > 0 and attempt.room[i] > 0 for i in range(3)):
+                    victims.append(attempt)
+                    need = [need[i] - attempt.room[i] for i in range(3)]
+        return victims
 
-    def preempt_step(self, *, k, lane, ms, taken, r):
-        rec, out = self.record, []
-        s, ts = rec.jobs[k[0]].steps[k[1]], rec.ready[k]
+    def preempt_step(self, *, step_key, lane, ms, taken, placement_round):
+        """The attempts to stop for the due tasks of a step that has waited long. taken: runs that are to be
+        stopped already; those chosen here are added."""
+        record, victims = self.record, []
+        step, tasks = record.jobs[step_key[0]].steps[step_key[1]], record.ready[step_key]
         if (
-            s.spec.get("gang")
+            step.spec.get("gang")
             or ms
-            - max(min(t.at >> constants.LOGICAL_BITS for t in ts.values()), min(t.due for t in ts.values()))
+            - max(
+                min(task.at >> constants.LOGICAL_BITS for task in tasks.values()),
+                min(task.due for task in tasks.values()),
+            )
             < constants.PREEMPT_AFTER_MS
         ):
-            return out
-        n = sum(t.due <= ms for t in ts.values()) - self.promised.get(k, (0, 0))[0]
-        while n > 0 and len(out) < constants.PREEMPT_MOST:
-            gs = self.cheapest(step=s, k=k, lane=lane, ms=ms, taken=taken, r=r)
-            if not gs:
+            return victims
+        missing = sum(task.due <= ms for task in tasks.values()) - self.promised.get(step_key, (0, 0))[0]
+        while missing > 0 and len(victims) < constants.PREEMPT_MOST:
+            found = self.cheapest_victims(
+                step=step, step_key=step_key, lane=lane, ms=ms, taken=taken, placement_round=placement_round
+            )
+            if not found:
                 break
-            taken |= {g.run for g in gs}
-            out += gs
-            n -= 1
-            self.promised[k] = (self.promised.get(k, (0, 0))[0] + 1, ms + constants.PROMISE_MS)
-        return out
+            taken |= {attempt.run for attempt in found}
+            victims += found
+            missing -= 1
+            self.promised[step_key] = (self.promised.get(step_key, (0, 0))[0] + 1, ms + constants.PROMISE_MS)
+        return victims
 
-    def cheapest(self, *, step, k, lane, ms, taken, r):
-        """The attempts on one worker that make room for one task at the least loss."""
-        rec, best = self.record, None
-        rows, room = rec.charter["rows"], step.spec["room"]
+    def cheapest_victims(self, *, step, step_key, lane, ms, taken, placement_round):
+        """The attempts on one worker whose stop makes room for one task at the least loss, or None."""
+        record, best = self.record, None
+        rows, room = record.charter["rows"], step.spec["room"]
         near = step.spec.get("near")
-        for w in r.could(lane=lane, spec=step.spec):
-            if w.state != UP or w.id in self.slow or w.id in r.kept or near and w.rack != near:
+        for worker in placement_round.eligible_workers(lane=lane, spec=step.spec):
+            if (
+                worker.state != UP
+                or worker.id in self.slow
+                or worker.id in placement_round.kept
+                or near
+                and worker.rack != near
+            ):
                 continue
-            free = r.free_for(worker=w, k=k, lane=lane)
-            need, gs, cost = [room[i] - free[i] for i in range(3)], [], 0.0
-            may = [
-                (self.loss(attempt=g, ms=ms), g.run, g)
-                for g in w.runs.values()
-                if g.run not in taken
-                and not g.stop
-                and self.may_stop(attempt=g, urgency=rows[lane]["urgency"], ms=ms)
+            free = placement_round.free_for(worker=worker, step_key=step_key, lane=lane)
+            need, victims, cost = [room[i] - free[i] for i in range(3)], [], 0.0
+            candidates = [
+                (self.loss(attempt=attempt, ms=ms), attempt.run, attempt)
+                for attempt in worker.runs.values()
+                if attempt.run not in taken
+                and not attempt.stop
+                and self.may_stop(attempt=attempt, urgency=rows[lane]["urgency"], ms=ms)
             ]
-            for c, _, g in sorted(may, key=lambda x: x[:2]):
-                if all(x <= 0 for x in need):
+            for loss, _, attempt in sorted(candidates, key=lambda candidate: candidate[:2]):
+                if all(amount <= 0 for amount in need):
                     break
-                if any(need[i] > 0 and g.room[i] > 0 for i in range(3)):
-                    gs.append(g)
-                    cost += c
-                    need = [need[i] - g.room[i] for i in range(3)]
-            if gs and all(x <= 0 for x in need) and (best is None or cost < best[0]):
-                best = (cost, gs)
+                if any(need[i] > 0 and attempt.room[i] > 0 for i in range(3)):
+                    victims.append(attempt)
+                    cost += loss
+                    need = [need[i] - attempt.room[i] for i in range(3)]
+            if victims and all(amount <= 0 for amount in need) and (best is None or cost < best[0]):
+                best = (cost, victims)
         return best[1] if best else None
 
     def loss(self, *, attempt, ms):
-        """Core milliseconds that stopping it throws away, about."""
+        """About how many core milliseconds of work are lost if an attempt is stopped."""
         age = max(0, ms - (attempt.run >> constants.LOGICAL_BITS))
         saves = self.record.jobs[attempt.job].steps[attempt.step].spec.get("saves")
         return (min(age, constants.CHECKPOINT_MS) if saves else age) * max(1, attempt.room[0])
 
     def may_stop(self, *, attempt, urgency, ms):
-        j = self.record.jobs[attempt.job]
-        sp, row = j.steps[attempt.step].spec, self.record.charter["rows"].get(attempt.lane)
+        """Whether an attempt may be stopped for work of this urgency."""
+        job = self.record.jobs[attempt.job]
+        spec, row = job.steps[attempt.step].spec, self.record.charter["rows"].get(attempt.lane)
         if (
             row is None
             or row["urgency"] >= urgency
-            or sp.get("gang")
-            or sp.get("forever")
+            or spec.get("gang")
+            or spec.get("forever")
             or self.reserving is not None
-            and self.reserving.serves(attempt=attempt, ms=ms)
+            and self.reserving.is_owed(attempt=attempt, ms=ms)
         ):
             return False
         return (
-            bool(sp.get("saves")) or ms - (attempt.run >> constants.LOGICAL_BITS) < constants.PREEMPT_YOUNG_MS
+            bool(spec.get("saves"))
+            or ms - (attempt.run >> constants.LOGICAL_BITS) < constants.PREEMPT_YOUNG_MS
         )
--- a/hollowhall/desk/reservation_requests.py
+++ b/hollowhall/desk/reservation_requests.py
@@ -1,6 +1,8 @@
-"""What a desk answers of reservations: one is confirmed, refused with a reason, shortened
-or released by an event of a turn, and told once that is committed; reads are answered by
-a primary whose lease has not run out, from the record."""
+"""Requests about reservations.
+
+An event of a decision batch confirms a reservation, refuses it with a reason, shortens it or releases it;
+the answer is sent once that is committed. Reads are answered from the record by a primary whose lease has
+not expired."""
 
 from ..base import constants
 from ..base.circuit import pack
@@ -8,58 +10,63 @@
 
 
 class ReservationRequestsMixin:
-    reserve_n = 0  # reservations held for a turn, or in one
+    """The scheduler's handlers of requests about reservations."""
+
+    reserves_pending = 0  # new reservations that wait for a decision batch or are in one
 
     def reservation_ready(self, callback):
+        """Whether a change of a reservation can be accepted now; if not, the callback may have been called
+        with the reason."""
         if self.ready_to(callback) and self.record.level < 3:
-            callback(NotSynced(tries=0))  # not every daemon knows reservations yet
+            callback(NotSynced(tries=0))  # some daemons are of a version without reservations
             return False
         return self.live() and not self.leaving
 
-    def reservation_told(self, *, n, callback, good):
-        """What k is told of reservation n once the turn is over."""
+    def reservation_callback(self, *, name, callback, answers):
+        """A function that passes the result of a batch's event on a reservation to `callback`. answers: by
+        result, what is added to the view of the reservation."""
 
-        def then(r, stamp):
+        def then(result, stamp):
             if stamp is None:
-                callback(r)
-            elif r[0] in good:
-                callback(Success(value=self.reservation_view(n) | good[r[0]]))
-            elif r[0] == "other":
-                callback(OtherBody(name=n))
-            elif r[0] == "no":
-                callback(NotReserved(why=r[1], free=r[2]))
+                callback(result)
+            elif result[0] in answers:
+                callback(Success(value=self.reservation_view(name) | answers[result[0]]))
+            elif result[0] == "other":
+                callback(OtherBody(name=name))
+            elif result[0] == "no":
+                callback(NotReserved(why=result[1], free=result[2]))
             else:
-                callback(Unknown(what="reservation", id=n))
+                callback(Unknown(what="reservation", id=name))
 
         return then
 
     def on_reserve(self, *, request, callback, caller):
-        """b: name, spec and digest, as check_reservation gives them."""
+        """request: name, spec and digest, as check_reservation returns them."""
         if not self.reservation_ready(callback):
             return
-        n = request["name"]
-        r = self.record.reservations.get(n)
-        if r is not None:  # a resend of what is recorded needs no turn
+        name = request["name"]
+        reservation = self.record.reservations.get(name)
+        if reservation is not None:  # a repeated request for a recorded reservation needs no event
             callback(
-                Success(value=self.reservation_view(n) | {"new": False})
-                if r.digest == request["digest"]
-                else OtherBody(name=n)
+                Success(value=self.reservation_view(name) | {"new": False})
+                if reservation.digest == request["digest"]
+                else OtherBody(name=name)
             )
             return
-        if self.reserve_n >= constants.RESERVE_HELD:  # each takes a while to be judged
+        if self.reserves_pending >= constants.RESERVE_HELD:  # checking a reservation takes long
             callback(Full(where="desk", after=constants.RETRY_AFTER))
             return
-        self.reserve_n += 1
-        then = self.reservation_told(
-            n=n, callback=callback, good={"new": {"new": True}, "same": {"new": False}}
+        self.reserves_pending += 1
+        then = self.reservation_callback(
+            name=name, callback=callback, answers={"new": {"new": True}, "same": {"new": False}}
         )
 
-        def back(r, stamp):
-            self.reserve_n -= 1
-            then(r, stamp)
+        def back(result, stamp):
+            self.reserves_pending -= 1
+            then(result, stamp)
 
         self.hold_event(
-            event=["reserve", n, request["spec"], request["digest"], self.params.reserved_percent],
+            event=["reserve", name, request["spec"], request["digest"], self.params.reserved_percent],
             size=len(pack(request["spec"])) + 256,
             callback=back,
         )
@@ -68,58 +75,69 @@
         if self.reservation_ready(callback):
             self.hold_event(
                 event=["release", request["name"]],
-                callback=self.reservation_told(n=request["name"], callback=callback, good={"ok": {}}),
+                callback=self.reservation_callback(
+                    name=request["name"], callback=callback, answers={"ok": {}}
+                ),
             )
 
     def on_shorten(self, *, request, callback, caller):
-        """b: name, untilMs and count, either of them None to stay."""
+        """request: name, untilMs and count; None for either of these keeps it."""
         if self.reservation_ready(callback):
             self.hold_event(
                 event=["shorten", request["name"], request["untilMs"], request["count"]],
-                callback=self.reservation_told(n=request["name"], callback=callback, good={"ok": {}}),
+                callback=self.reservation_callback(
+                    name=request["name"], callback=callback, answers={"ok": {}}
+                ),
             )
 
     def on_reservation(self, *, request, callback, caller):
         if self.ready_to(callback):
-            n = request["name"]
+            name = request["name"]
             callback(
-                Success(value=self.reservation_view(n))
-                if n in self.record.reservations
-                else Unknown(what="reservation", id=n)
+                Success(value=self.reservation_view(name))
+                if name in self.record.reservations
+                else Unknown(what="reservation", id=name)
             )
 
     def on_reservations(self, *, request, callback, caller):
-        """Those of a lane, or all; by their windows."""
+        """The reservations of a queue, or all, by the begin of their windows."""
         if self.ready_to(callback):
-            rs = [r for r in self.record.reservations.values() if request["lane"] in ("", *r.lanes)]
+            reservations = [
+                reservation
+                for reservation in self.record.reservations.values()
+                if request["lane"] in ("", *reservation.lanes)
+            ]
             callback(
                 Success(
                     value={
                         "reservations": [
-                            self.reservation_view(r.id) for r in sorted(rs, key=lambda r: (r.begin, r.id))
+                            self.reservation_view(reservation.id)
+                            for reservation in sorted(
+                                reservations, key=lambda reservation: (reservation.begin, reservation.id)
+                            )
                         ]
                     }
                 )
             )
 
-    def reservation_view(self, n):
-        """A reservation as clients see it. planned: how many of the count the workers that
-        are well now would serve; fewer than the count after the fleet shrank."""
-        r, at = self.record.reservations[n], {}
+    def reservation_view(self, name):
+        """A reservation as clients see it. planned: how many of its rooms the workers that are healthy now
+        can serve; fewer than count after the fleet shrank."""
+        reservation, workers = self.record.reservations[name], {}
         if (plan := self.plan_now(ms=self.clock_ms())) is not None:
-            at = plan.at.get(n, {})
+            workers = plan.assigned.get(name, {})
         return {
-            "name": n,
-            "kind": r.kind,
-            "zone": r.zone,
-            "label": r.label,
-            "lanes": r.lanes,
-            "room": dict(zip(("cores", "memMb", "gpus"), r.room)),
-            "count": r.count,
-            "fromMs": r.begin,
-            "untilMs": r.until,
-            "state": r.phase(self.clock_ms()),
-            "stamp": str(r.stamp),
-            "planned": sum(at.values()),
-            "workers": at,
+            "name": name,
+            "kind": reservation.kind,
+            "zone": reservation.zone,
+            "label": reservation.label,
+            "lanes": reservation.lanes,
+            "room": dict(zip(("cores", "memMb", "gpus"), reservation.room)),
+            "count": reservation.count,
+            "fromMs": reservation.begin,
+            "untilMs": reservation.until,
+            "state": reservation.phase(self.clock_ms()),
+            "stamp": str(reservation.stamp),
+            "planned": sum(workers.values()),
+            "workers": workers,
         }
--- a/hollowhall/desk/standings.py
+++ b/hollowhall/desk/standings.py
@@ -1,3 +1,3 @@
-"""What a waiting job can still come to, from best to worst."""
+"""Whether a waiting job can still end by its aim, from best to worst (see aims.py)."""
 
 IN_AIM, LATE, TOO_LATE = 0, 1, 2
--- a/tests/test_place.py
+++ b/tests/test_place.py
@@ -77,7 +77,7 @@
     t.job("big", cores=100)
     t.job("ok", tasks=5)
     r, runs = t.turn()
-    assert lanes_of(t, runs) == {"a": 5} and r.why["big", "s"] == "never"
+    assert lanes_of(t, runs) == {"a": 5} and r.reasons["big", "s"] == "never"
 
 
 @pytest.mark.parametrize("wait, starved", [(True, False), (False, True)])
@@ -115,7 +115,7 @@
     t.rec.ev_flaky(t.tick(), "w0", (t.st >> constants.LOGICAL_BITS) + 1000)
     t.job("j")
     r, runs = t.turn()
-    assert runs == {} and r.why["j", "s"] == "probation"
+    assert runs == {} and r.reasons["j", "s"] == "probation"
     t.tick(1500)
     assert len(t.turn()[1]) == 1
 
--- a/tests/test_place_costs.py
+++ b/tests/test_place_costs.py
@@ -25,7 +25,7 @@
         return g
 
     monkeypatch.setattr(fit, "has_room", counted(fit.has_room, "steps"))
-    monkeypatch.setattr(gather, "fits", counted(gather.fits, "gangs"))
+    monkeypatch.setattr(gather, "rooms_that_fit", counted(gather.rooms_that_fit, "gangs"))
     return n
 
 
--- a/tests/test_reservations.py
+++ b/tests/test_reservations.py
@@ -29,7 +29,7 @@
 
 async def lose(w, op, at):
     await asyncio.sleep(at - w.loop.vt)
-    for i in sorted(V.primary(w).reserving.at["r"])[:2]:  # two of those that are to serve
+    for i in sorted(V.primary(w).reserving.assigned["r"])[:2]:  # two of those that are to serve
         w.crash_mate(i)
 
 
@@ -43,7 +43,7 @@
 
 async def drain(w, op):
     await asyncio.sleep(V.OPEN + 3 - w.loop.vt)
-    for i in sorted(V.primary(w).reserving.at["r"])[:2]:
+    for i in sorted(V.primary(w).reserving.assigned["r"])[:2]:
         await op.ask("leave", "POST", f"/v1/workers/{i}/leave", {})
 
 
@@ -164,7 +164,7 @@
             )
         assert [type(o).__name__ for o in got] == ["Full"] * 12 and got[0].after >= 1
         await asyncio.sleep(1)
-        assert d.reserve_n == 0
+        assert d.reserves_pending == 0
 
     w = V.play(19, steps=steps, crowded=False, reserved=False, end=V.OPEN)
     clean(w)
--- a/tests/test_reservations_weak.py
+++ b/tests/test_reservations_weak.py
@@ -51,7 +51,7 @@
 
     abstract = False
 
-    def give_back(self, *, r, ms):
+    def give_back(self, *, placement_round, ms):
         return []
 
 
--- a/tests/test_reserving.py
+++ b/tests/test_reserving.py
@@ -164,25 +164,25 @@
     g = next(iter(p.record.legs.values()))
     ws, s = list(p.record.workers.values()), p.record.jobs["c"].steps["s"]
     assert not p.copy(attempt=g, step=s, workers=ws, ms=T + 10_000) and p.turn(20_000) == ({}, [])
-    p.hold_event = lambda ev: p.said.append(ev)
+    p.hold_event = lambda event: p.said.append(event)
     assert p.copy(attempt=g, step=s, workers=ws, ms=T + 20_000)
 
 
 def test_the_plan_stays_and_what_is_lost_is_mapped_anew_the_first_confirmed_first(p):
     reserve(p.record, "y", 100, count=8, fromMs=T + 5_000)
     p.turn(0)
-    at = {i: dict(x) for i, x in p.reserving.at.items()}
+    at = {i: dict(x) for i, x in p.reserving.assigned.items()}
     assert {i: sum(x.values()) for i, x in at.items()} == {"x": 16, "y": 8}
     p.turn(300)
-    assert p.reserving.at == at
+    assert p.reserving.assigned == at
     gone = sorted(at["x"])[0]
     p.record.do(["leave", gone, "1"])
     p.turn(600)
-    new = p.reserving.at
+    new = p.reserving.assigned
     assert gone not in new["x"] and sum(new["x"].values()) == 16 and sum(new["y"].values()) == 8
     p.record.do(["evacuate", "z1", True])
     p.turn(900)
-    assert sum(p.reserving.at["x"].values()) == 8 and p.reserving.at["y"] == {}
+    assert sum(p.reserving.assigned["x"].values()) == 8 and p.reserving.assigned["y"] == {}
     assert [(no, f["missing"]) for no, f in p.said] == [(420, 8), (420, 8)]
     p.record.do(["evacuate", "z1", False])
     p.turn(1_200)
--- a/tests/test_round_time.py
+++ b/tests/test_round_time.py
@@ -53,7 +53,7 @@
 def rounds(desk):
     """Rounds until the backlog was looked through, with a batch after each: (s of each, tasks started)."""
     took, started = [], []
-    while not took or desk.last_round.cut:
+    while not took or desk.last_round.cut_short:
         before = desk.seam.t
         events = desk.place_all(most=constants.TURN_EVENTS)
         took.append(desk.seam.t - before)
@@ -75,14 +75,14 @@
     desk = desk_over(backlog(), times=20.0)
     _, started = rounds(desk)
     assert {name.split("/")[0] for name in started} == {f"s{n}" for n in range(40)}
-    assert desk.passed == set()  # and the next round looks at all again
+    assert desk.examined == set()  # and the next round looks at all again
 
 
 def test_a_round_that_has_no_time_left_places_one_step_all_the_same():
     desk = desk_over(backlog(gangs=0))
     desk.seam.tick = 2 * constants.ROUND_S
     desk.place_all(most=constants.TURN_EVENTS)
-    assert desk.last_round.cut and len(desk.last_round.out) == 1
+    assert desk.last_round.cut_short and len(desk.last_round.out) == 1
 
 
 def test_when_workers_will_have_room_is_worked_out_once_a_round():
@@ -110,5 +110,5 @@
     desk = desk_over(backlog(), times=60.0)
     before = desk.seam.t
     desk.place_all(most=constants.TURN_EVENTS)
-    assert desk.last_round.cut and abs(desk.last_round_s - (desk.seam.t - before)) < 1e-6
+    assert desk.last_round.cut_short and abs(desk.last_round_s - (desk.seam.t - before)) < 1e-6
     assert constants.ROUND_REST * desk.last_round_s > constants.TURN_GAP
