--- a/tests/reserved_cost.py
+++ b/tests/reserved_cost.py
@@ -1,4 +1,4 @@
-"""What reservations cost a processor: `python tests/reserved_cost.py`."""
+"""Measures the processor time that reservations cost: `python tests/reserved_cost.py`."""
 
 import random
 import time
@@ -11,38 +11,45 @@
 from hollowhall.record.reservation_bodies import check_reservation
 
 
-def cost(seed, *, workers, n):
-    """CPU ms of a confirmation beside n others that overlap, of a plan made from nothing, of one
-    that stays, and of a round's look in an open window; workers of 8, half of them reserved."""
-    rec, r, out = Record(), random.Random(seed), {}
-    for x in (1, 2, 3):
-        rec.enact(op="level", d=x)
-    rec.charter = {"version": 2, "rows": LANES, "at": 0}
-    for i in range(workers):
-        rec.ev_worker(i + 1, f"w{i}", "b", "gpu", "z1", "r", [64, 262144, 8], True)
-    st = 10_000 << constants.LOGICAL_BITS
-    for i in range(n + 1):
+def cost(seed, *, workers, reservations):
+    """CPU ms of a confirmation beside other overlapping reservations, of making a plan, of keeping it, and of
+    a round's refresh in an open window; workers of 8 accelerators, half of them reserved."""
+    record, rng, figures = Record(), random.Random(seed), {}
+    for level in (1, 2, 3):
+        record.enact(op="level", d=level)
+    record.charter = {"version": 2, "rows": LANES, "at": 0}
+    for number in range(workers):
+        record.ev_worker(number + 1, f"w{number}", "b", "gpu", "z1", "r", [64, 262144, 8], True)
+    stamp = 10_000 << constants.LOGICAL_BITS
+    for number in range(reservations + 1):
         spec, digest = check_reservation(
             {
                 "kind": "gpu",
-                "count": workers * 4 // (n + 1),
+                "count": workers * 4 // (reservations + 1),
                 "lanes": ["team"],
                 "room": {"gpus": 1},
-                "fromMs": 10_000 + r.randrange(1000),
-                "untilMs": 99_000 + r.randrange(1000),
+                "fromMs": 10_000 + rng.randrange(1000),
+                "untilMs": 99_000 + rng.randrange(1000),
             }
         )
-        t = time.process_time()
-        assert rec.ev_reserve(st + i, f"x{i}", spec, digest, 50)[0] == "new"
-        out["confirmed ms"] = (time.process_time() - t) * 1000
-    p = Plan(rec=rec)
+        began = time.process_time()
+        assert record.ev_reserve(stamp + number, f"x{number}", spec, digest, 50)[0] == "new"
+        figures["confirmed ms"] = (time.process_time() - began) * 1000
+    plan = Plan(rec=record)
     for what, ms in (("planned ms", 10_500), ("stays ms", 10_800), ("a round ms", 10_810)):
-        t = time.process_time()
-        p.refresh(ms=ms)
-        out[what] = (time.process_time() - t) * 1000
-    return {a: round(b, 2) for a, b in out.items()}
+        began = time.process_time()
+        plan.refresh(ms=ms)
+        figures[what] = (time.process_time() - began) * 1000
+    return {name: round(value, 2) for name, value in figures.items()}
 
 
 if __name__ == "__main__":
-    for a, b in ((25, 10), (250, 50), (2500, 99)):
-        print(a, "workers", b + 1, "reservations", cost(1, workers=a, n=b), cost(2, workers=a, n=b))
+    for workers, others in ((25, 10), (250, 50), (2500, 99)):
+        print(
+            workers,
+            "workers",
+            others + 1,
+            "reservations",
+            cost(1, workers=workers, reservations=others),
+            cost(2, workers=workers, reservations=others),
+        )
--- a/tests/reserved_world.py
+++ b/tests/reserved_world.py
@@ -1,13 +1,13 @@
-"""A fleet of accelerators in virtual time, full of others' work, and a team that has some
-of it reserved for a window, or not. `play` runs one seed, `figures` reads a history.
-`python tests/reserved_world.py SEEDS` compares with and without reservations,
-`... storm SEEDS` plays faults of every kind; reserved_cost.py measures a processor."""
+"""A fleet of accelerators in virtual time, full of others' work, and a team that has some of it reserved for
+a window, or not. `play` runs one seed, `figures` evaluates a history. `python tests/reserved_world.py SEEDS`
+compares runs with and without reservations; `... storm SEEDS` injects faults of every kind; reserved_cost.py
+measures processor time."""
 
 import asyncio
 import sys
 from statistics import median
 
-import weak as W
+import weak
 
 from hollowhall.check.judge import judge
 from hollowhall.sim.faults import ALL, schedule
@@ -20,12 +20,12 @@
     "batch": {"weight": 1, "limit": 0, "urgency": 5},
     "odds": {"weight": 1, "limit": 0, "urgency": 4},
 }
-OPEN, CLOSE, COUNT = 22.0, 38.0, 24  # s of virtual time; accelerators of 48
+OPEN, CLOSE, COUNT = 22.0, 38.0, 24  # window in s of virtual time; accelerators reserved, of 48
 GPU = room(1, 1024, 1)
 
 
-def ms(vt):
-    return int(BASE_MS + vt * 1000)
+def ms(virtual_s):
+    return int(BASE_MS + virtual_s * 1000)
 
 
 def body(**kw):
@@ -42,8 +42,8 @@
 USUAL_BODY = body()
 
 
-def job(lane, t, tasks=1, **kw):
-    return {"lane": lane, "steps": [step("a", "gpu", t, tasks=tasks, room=GPU, **kw)]}
+def job(lane, run_ms, tasks=1, **kw):
+    return {"lane": lane, "steps": [step("a", "gpu", run_ms, tasks=tasks, room=GPU, **kw)]}
 
 
 FLEET = Shape(
@@ -56,26 +56,27 @@
 )
 
 
-async def crowd(w, req, *, until):
-    """Others' work, more than there is room for: saved, estimated, and of unknown length."""
-    n = 0
-    while w.loop.vt < until:
-        t = 500 + w.rng.randrange(4000)
-        kw = [{"saves": True}, {"estimateMs": t}, {}][n % 3]
-        await req.send(body=job(("batch", "odds")[n % 2], t, tasks=4, **kw))
-        n += 1
+async def crowd(world, client, *, until):
+    """Sends others' work, more than there is room for: with checkpoints, with an estimate, and of unknown
+    duration."""
+    count = 0
+    while world.loop.vt < until:
+        run_ms = 500 + world.rng.randrange(4000)
+        fields = [{"saves": True}, {"estimateMs": run_ms}, {}][count % 3]
+        await client.send(body=job(("batch", "odds")[count % 2], run_ms, tasks=4, **fields))
+        count += 1
         await asyncio.sleep(0.25)
 
 
-async def team(w, req, *, until, tasks=8, t=2000):
-    """The owners' work: a job of eight tasks every two thirds of a second."""
-    while w.loop.vt < until:
-        await req.send(body=job("team", t, tasks=tasks))
-        await asyncio.sleep(tasks * t / 1000 / COUNT)
+async def team(world, client, *, until, tasks=8, run_ms=2000):
+    """Sends the owners' work: a job of eight tasks every two thirds of a second."""
+    while world.loop.vt < until:
+        await client.send(body=job("team", run_ms, tasks=tasks))
+        await asyncio.sleep(tasks * run_ms / 1000 / COUNT)
 
 
-def primary(w):
-    return w.nodes[w.who("desk", "primary")[0]].daemon
+def primary(world):
+    return world.nodes[world.who("desk", "primary")[0]].daemon
 
 
 def play(
@@ -90,107 +91,124 @@
     crowded=True,
     body=None,
 ):
-    """One run. steps: a coroutine of the world and an operator beside it all."""
-    w = World(seed=seed, shape=FLEET, build=build or W.REAL, params={"level": 3} | (params or {}))
-    w.run_on = 10**6  # none runs on when it is cut off
-    got = w.got = {}
+    """One run. steps: a coroutine that gets the world and an operator and runs beside the load."""
+    world = World(seed=seed, shape=FLEET, build=build or weak.REAL, params={"level": 3} | (params or {}))
+    world.run_on = 10**6  # no worker keeps running attempts while it is partitioned
+    answers = world.got = {}
 
     async def go():
-        w.start_all()
-        op, req, mine = w.operator(tag="op"), w.requester(tag="x"), w.requester(tag="team")
-        await op.found(lanes=LANES)
-        w.add_crew()
-        w.hist.note("share", percent=(params or {}).get("reserved_percent", 50))
-        await asyncio.sleep(5 - w.loop.vt)
+        world.start_all()
+        operator, client, team_client = (
+            world.operator(tag="op"),
+            world.requester(tag="x"),
+            world.requester(tag="team"),
+        )
+        await operator.found(lanes=LANES)
+        world.add_crew()
+        world.hist.note("share", percent=(params or {}).get("reserved_percent", 50))
+        await asyncio.sleep(5 - world.loop.vt)
         if reserved:
-            got["answer"] = await op.reserve(name="r", body=body or USUAL_BODY)
-        ts = [asyncio.ensure_future(crowd(w, req, until=end))] if crowded else []
+            answers["answer"] = await operator.reserve(name="r", body=body or USUAL_BODY)
+        tasks = [asyncio.ensure_future(crowd(world, client, until=end))] if crowded else []
         if steps:
-            ts.append(asyncio.ensure_future(steps(w, op)))
-        await asyncio.sleep(begin - 0.5 - w.loop.vt)
-        ts.append(asyncio.ensure_future(team(w, mine, until=CLOSE - 2)))
-        await asyncio.sleep(end - w.loop.vt)
-        for t in ts:
-            if t.done():
-                t.result()
-
-    w.run(go())
-    w.bad, w.seen = judge(w.hist.rows)
-    return w
-
-
-def stormy(seed, *, n=10):
-    """A run with a schedule of faults of every kind, and reservations made and let go
-    meanwhile by two operators who know nothing of each other."""
-
-    async def steps(w, op):
-        ops = [w.operator(tag="op1"), w.operator(tag="op2")]
-        f = AllFaults(world=w, requester=w.requester(tag="side"), operators=ops, calm=10.0)
-
-        async def book(o, k):
-            for i in range(12):
-                b = w.loop.vt + w.rng.random() * 10
-                st, _ = await o.reserve(
-                    name=f"{o.tag}-{i}",
+            tasks.append(asyncio.ensure_future(steps(world, operator)))
+        await asyncio.sleep(begin - 0.5 - world.loop.vt)
+        tasks.append(asyncio.ensure_future(team(world, team_client, until=CLOSE - 2)))
+        await asyncio.sleep(end - world.loop.vt)
+        for task in tasks:
+            if task.done():
+                task.result()
+
+    world.run(go())
+    world.bad, world.seen = judge(world.hist.rows)
+    return world
+
+
+def stormy(seed, *, faults_count=10):
+    """A run with a schedule of faults of every kind, while two independent operators make and release
+    reservations."""
+
+    async def steps(world, operator):
+        operators = [world.operator(tag="op1"), world.operator(tag="op2")]
+        faults = AllFaults(world=world, requester=world.requester(tag="side"), operators=operators, calm=10.0)
+
+        async def book(client, number):
+            for attempt in range(12):
+                begin = world.loop.vt + world.rng.random() * 10
+                status, _ = await client.reserve(
+                    name=f"{client.tag}-{attempt}",
                     tries=9,
                     body=body(
                         lanes=["odds"],
-                        count=w.rng.randint(1, 16),
-                        fromMs=ms(b),
-                        untilMs=ms(b + 1 + w.rng.random() * 6),
+                        count=world.rng.randint(1, 16),
+                        fromMs=ms(begin),
+                        untilMs=ms(begin + 1 + world.rng.random() * 6),
                     ),
                 )
-                if st in (200, 201) and w.rng.random() < 0.3:
-                    await o.release(f"{o.tag}-{i}", tries=9)
-                elif st in (200, 201):
-                    await o.reservation(f"{o.tag}-{i}")
-                await asyncio.sleep(w.rng.random() * 2)
+                if status in (200, 201) and world.rng.random() < 0.3:
+                    await client.release(f"{client.tag}-{attempt}", tries=9)
+                elif status in (200, 201):
+                    await client.reservation(f"{client.tag}-{attempt}")
+                await asyncio.sleep(world.rng.random() * 2)
 
         await asyncio.gather(
-            f.run(schedule(seed=seed, kinds=ALL, n=n, start=6.0, end=26.0)),
-            *(book(o, k) for k, o in enumerate(ops)),
+            faults.run(schedule(seed=seed, kinds=ALL, n=faults_count, start=6.0, end=26.0)),
+            *(book(client, number) for number, client in enumerate(operators)),
         )
 
     return play(seed, steps=steps, end=CLOSE + 8)
 
 
-def clean(w):
-    assert w.bad == [], [(b.rule, b.text) for b in w.bad[:3]]
-    assert not [x for x in w.log if " HH106 " in x or " HH111 " in x]
-
-
-def figures(w):
-    """The team's: tasks begun in the window, and how long after their job was taken; most
-    accelerators at once; others': tasks ended well, and stopped."""
-    taken, waits, live, most, used, at, ok, stopped, late = {}, [], {}, 0, 0.0, ms(8), 0, 0, None
-    for r in sorted(w.hist.rows, key=lambda r: r["t"]):
-        t = r["t"]
-        if r["ev"] in ("start", "end") and ms(8) < t < ms(CLOSE):
-            used += len(live) * (t - at)
-            at = t
-        if r["ev"] == "put.out" and r["status"] in (200, 201):
-            taken.setdefault(r["name"], t)
-        elif r["ev"] == "start":
-            live[r["run"]] = r
-            mine = [g for g in live.values() if g["job"].startswith("team")]
-            if r["job"].startswith("team") and ms(OPEN) <= t < ms(CLOSE):
-                waits.append(t - max(taken.get(r["job"], t), ms(OPEN)))
-                most = max(most, len(mine))
-                if len(mine) >= COUNT and late is None:
-                    late = t - ms(OPEN)
-        elif r["ev"] == "end":
-            g = live.pop(r["run"], None)
-            if g is not None and not g["job"].startswith("team"):
-                ok, stopped = ok + (r["how"] == "ok"), stopped + (r["how"] == "stopped")
+def clean(world):
+    assert world.bad == [], [(violation.rule, violation.text) for violation in world.bad[:3]]
+    assert not [line for line in world.log if " HH106 " in line or " HH111 " in line]
+
+
+def figures(world):
+    """Of the team: tasks started in the window, their waits since the acceptance of their job, and the most
+    accelerators at once. Of others: tasks that ended successfully, and that were stopped."""
+    accepted, waits, running, most_at_once, busy_ms, last_ms, others_ended, others_stopped, all_started_ms = (
+        {},
+        [],
+        {},
+        0,
+        0.0,
+        ms(8),
+        0,
+        0,
+        None,
+    )
+    for row in sorted(world.hist.rows, key=lambda row: row["t"]):
+        ms_now = row["t"]
+        if row["ev"] in ("start", "end") and ms(8) < ms_now < ms(CLOSE):
+            busy_ms += len(running) * (ms_now - last_ms)
+            last_ms = ms_now
+        if row["ev"] == "put.out" and row["status"] in (200, 201):
+            accepted.setdefault(row["name"], ms_now)
+        elif row["ev"] == "start":
+            running[row["run"]] = row
+            team_runs = [run for run in running.values() if run["job"].startswith("team")]
+            if row["job"].startswith("team") and ms(OPEN) <= ms_now < ms(CLOSE):
+                waits.append(ms_now - max(accepted.get(row["job"], ms_now), ms(OPEN)))
+                most_at_once = max(most_at_once, len(team_runs))
+                if len(team_runs) >= COUNT and all_started_ms is None:
+                    all_started_ms = ms_now - ms(OPEN)
+        elif row["ev"] == "end":
+            run = running.pop(row["run"], None)
+            if run is not None and not run["job"].startswith("team"):
+                others_ended, others_stopped = (
+                    others_ended + (row["how"] == "ok"),
+                    others_stopped + (row["how"] == "stopped"),
+                )
     return {
         "team begun": len(waits),
         "wait median ms": round(median(waits)) if waits else None,
         "wait worst ms": round(max(waits)) if waits else None,
-        "most at once": most,
-        "all there after ms": late and round(late),
-        "others ended": ok,
-        "others stopped": stopped,
-        "used": round(used / (ms(CLOSE) - ms(8)) / 48, 3),
+        "most at once": most_at_once,
+        "all there after ms": all_started_ms and round(all_started_ms),
+        "others ended": others_ended,
+        "others stopped": others_stopped,
+        "used": round(busy_ms / (ms(CLOSE) - ms(8)) / 48, 3),
     }
 
 
--- a/tests/test_going.py
+++ b/tests/test_going.py
@@ -1,5 +1,5 @@
-"""A worker that is heard again just as it is given up is told nothing until that is decided:
-what it held may begin elsewhere in the same turn (a task ran twice on a day of the platform)."""
+"""A worker that is heard again while it is being given up gets no orders until that is decided: its attempts
+may start elsewhere in the same batch (a task ran twice in a simulated day)."""
 
 from types import SimpleNamespace as Bag
 
@@ -11,8 +11,10 @@
 
 
 class Desk(BeatsMixin):
-    def __init__(self, rec):
-        self.record, self.seam, self.params = rec, Bag(now=lambda: 1.0), Bag(hold_ms=3600)
+    """The handling of heartbeats over a record, as primary."""
+
+    def __init__(self, record):
+        self.record, self.seam, self.params = record, Bag(now=lambda: 1.0), Bag(hold_ms=3600)
         self.epoch = 1
 
     def live(self):
@@ -26,12 +28,12 @@
 
 
 def test_a_worker_that_is_being_given_up_is_told_nothing():
-    d = Desk(made(steps=[step()]))
-    d.record.do(["grant", "j/0.0/0", "w0"])
-    h = WorkerSession(boot="1", named=True)
-    assert d.beat_outcome(worker_id="w0", session=h).value["starts"]
-    h.going = True
-    assert isinstance(d.beat_outcome(worker_id="w0", session=h), NotPrimary)
-    assert d.orders(worker_id="w0", session=h) == ([], [])
-    d.lost("w0", h, ["none", ""], None)
-    assert not h.going and d.beat_outcome(worker_id="w0", session=h).ok
+    desk = Desk(made(steps=[step()]))
+    desk.record.do(["grant", "j/0.0/0", "w0"])
+    session = WorkerSession(boot="1", named=True)
+    assert desk.beat_outcome(worker_id="w0", session=session).value["starts"]
+    session.going = True
+    assert isinstance(desk.beat_outcome(worker_id="w0", session=session), NotPrimary)
+    assert desk.orders(worker_id="w0", session=session) == ([], [])
+    desk.lost("w0", session, ["none", ""], None)
+    assert not session.going and desk.beat_outcome(worker_id="w0", session=session).ok
--- a/tests/test_pace_leaving.py
+++ b/tests/test_pace_leaving.py
@@ -10,19 +10,19 @@
     [(90, False, 2000, False), (10, False, 2000, True), (10, True, 3000, False), (10, True, 1300, True)],
 )
 def test_what_cannot_end_before_its_worker_leaves_is_moved_in_time(percent, saves, left, stopped):
-    d = Desk(made(steps=[step(saves=saves)]))
-    d.record.do(["grant", "j/0.0/0", "w0"])
-    d.report("w0", named=[("j/0.0/0", 1, "", 0)])
-    d.t += 1.0
-    d.report("w0", named=[("j/0.0/0", 1, "", percent)], leaveMs=left)
-    d.record.do(["leave", "w0", "1"])
-    d.move_in_time(now=d.t, ms=d.clock_ms())
-    assert [ev[::2] for ev in d.events] == ([["stop", "leave"]] if stopped else [])
+    desk = Desk(made(steps=[step(saves=saves)]))
+    desk.record.do(["grant", "j/0.0/0", "w0"])
+    desk.report("w0", named=[("j/0.0/0", 1, "", 0)])
+    desk.t += 1.0
+    desk.report("w0", named=[("j/0.0/0", 1, "", percent)], leaveMs=left)
+    desk.record.do(["leave", "w0", "1"])
+    desk.move_in_time(now=desk.t, ms=desk.clock_ms())
+    assert [event[::2] for event in desk.events] == ([["stop", "leave"]] if stopped else [])
 
 
 def test_attempts_that_are_being_stopped_say_nothing_of_their_worker():
-    d = busy()
-    for g in d.record.workers["w2"].runs.values():
-        g.stop = "room"
-    pass_time(d, {"w0": 30, "w1": 30, "w2": 1}, to=3.0)
-    assert not d.slow and not d.events
+    desk = busy()
+    for attempt in desk.record.workers["w2"].runs.values():
+        attempt.stop = "room"
+    pass_time(desk, {"w0": 30, "w1": 30, "w2": 1}, to=3.0)
+    assert not desk.slow and not desk.events
--- a/tests/test_place.py
+++ b/tests/test_place.py
@@ -1,5 +1,5 @@
-"""Placement, on the desk's own code: urgency, weighted shares, room kept for a large
-task, impossible work that blocks nobody, retries elsewhere, workers on probation."""
+"""Rounds of placement on the scheduler's own code: urgency, weighted shares, a worker held back for a large
+task, tasks that no worker can run, retries on other workers, workers on probation."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 class Table:
-    """A record with workers of eight cores, and jobs on it."""
+    """A record with workers of eight cores and jobs; `turn` runs a round and grants its starts."""
 
     def __init__(self, workers=4, rows=ROWS):
         self.rec, self.st, self.kept = Record(), 1000 << constants.LOGICAL_BITS, {}
@@ -33,135 +33,146 @@
         return self.st
 
     def job(self, name, lane="a", tasks=1, cores=1, **kw):
-        spec, dg = check_job(
+        spec, digest = check_job(
             {
                 "lane": lane,
                 "steps": [{"name": "s", "kind": "tile", "tasks": tasks, "room": {"cores": cores}, **kw}],
             }
         )
-        self.rec.ev_job(self.tick(), name, spec, dg)
+        self.rec.ev_job(self.tick(), name, spec, digest)
 
     def turn(self, most=400):
-        r = Round(rec=self.rec, now=self.st >> constants.LOGICAL_BITS, most=most, kept=self.kept)
-        out = r.run()
+        placement_round = Round(
+            rec=self.rec, now=self.st >> constants.LOGICAL_BITS, most=most, kept=self.kept
+        )
+        starts = placement_round.run()
         runs = {}
-        for t, w in out:
-            res = self.rec.ev_grant(self.tick(), t, w)
-            assert res[0] == "ok", res
-            runs[t] = res[1]
-        return r, runs
+        for task, worker in starts:
+            result = self.rec.ev_grant(self.tick(), task, worker)
+            assert result[0] == "ok", result
+            runs[task] = result[1]
+        return placement_round, runs
 
     def end(self, run, how="ok"):
         self.rec.ev_end(self.tick(), run, how, "")
 
 
-def lanes_of(t, runs):
-    out = {}
-    for i in runs:
-        lane = t.rec.jobs[i.split("/")[0]].lane
-        out[lane] = out.get(lane, 0) + 1
-    return out
+def lanes_of(table, runs):
+    counts = {}
+    for task in runs:
+        lane = table.rec.jobs[task.split("/")[0]].lane
+        counts[lane] = counts.get(lane, 0) + 1
+    return counts
 
 
 def test_urgency_first_then_weighted_shares():
-    t = Table()
-    t.job("ja", "a", 100)
-    t.job("jb", "b", 100)
-    t.job("jh", "hot", 8)
-    _, runs = t.turn()
-    assert lanes_of(t, runs) == {"hot": 8, "a": 18, "b": 6}
+    table = Table()
+    table.job("ja", "a", 100)
+    table.job("jb", "b", 100)
+    table.job("jh", "hot", 8)
+    _, runs = table.turn()
+    assert lanes_of(table, runs) == {"hot": 8, "a": 18, "b": 6}
 
 
 def test_impossible_work_says_never_and_blocks_nobody():
-    t = Table()
-    t.job("big", cores=100)
-    t.job("ok", tasks=5)
-    r, runs = t.turn()
-    assert lanes_of(t, runs) == {"a": 5} and r.reasons["big", "s"] == "never"
+    table = Table()
+    table.job("big", cores=100)
+    table.job("ok", tasks=5)
+    placement_round, runs = table.turn()
+    assert lanes_of(table, runs) == {"a": 5} and placement_round.reasons["big", "s"] == "never"
 
 
 @pytest.mark.parametrize("wait, starved", [(True, False), (False, True)])
 def test_a_large_task_is_not_starved_by_small_ones(wait, starved, monkeypatch):
-    """Small jobs keep coming; with a reservation the large one gets its worker."""
+    """Small jobs keep arriving; if a worker is held back, the large task starts."""
     if not wait:
         monkeypatch.setattr(constants, "STARVE_MS", 10**9)
-    t, live, started = Table(workers=2), [], False
-    t.job("small-0", tasks=16)
-    live += list(t.turn()[1].items())
-    t.job("large", "b", cores=8)
-    for k in range(1, 60):
-        live += list(t.turn()[1].items())
-        started = started or any(i.startswith("large") for i, _ in live)
-        for _, run in live[:3]:
-            t.end(run)
-        live = live[3:]
-        t.tick(400)
-        t.job(f"small-{k}", tasks=3)
+    table, running, started = Table(workers=2), [], False
+    table.job("small-0", tasks=16)
+    running += list(table.turn()[1].items())
+    table.job("large", "b", cores=8)
+    for n in range(1, 60):
+        running += list(table.turn()[1].items())
+        started = started or any(task.startswith("large") for task, _ in running)
+        for _, run in running[:3]:
+            table.end(run)
+        running = running[3:]
+        table.tick(400)
+        table.job(f"small-{n}", tasks=3)
     assert started is not starved
 
 
 def test_a_retry_goes_to_another_worker():
-    t = Table()
-    t.job("j", backoffMs=0)
-    _, runs = t.turn()
-    w0 = t.rec.legs[runs["j/s/0"]].worker
-    t.end(runs["j/s/0"], "bad")
-    _, runs = t.turn()
-    assert t.rec.legs[runs["j/s/0"]].worker != w0
+    table = Table()
+    table.job("j", backoffMs=0)
+    _, runs = table.turn()
+    first_worker = table.rec.legs[runs["j/s/0"]].worker
+    table.end(runs["j/s/0"], "bad")
+    _, runs = table.turn()
+    assert table.rec.legs[runs["j/s/0"]].worker != first_worker
 
 
 def test_a_worker_on_probation_gets_nothing_until_it_is_over():
-    t = Table(workers=1)
-    t.rec.ev_flaky(t.tick(), "w0", (t.st >> constants.LOGICAL_BITS) + 1000)
-    t.job("j")
-    r, runs = t.turn()
-    assert runs == {} and r.reasons["j", "s"] == "probation"
-    t.tick(1500)
-    assert len(t.turn()[1]) == 1
+    table = Table(workers=1)
+    table.rec.ev_flaky(table.tick(), "w0", (table.st >> constants.LOGICAL_BITS) + 1000)
+    table.job("j")
+    placement_round, runs = table.turn()
+    assert runs == {} and placement_round.reasons["j", "s"] == "probation"
+    table.tick(1500)
+    assert len(table.turn()[1]) == 1
 
 
 def test_a_round_leaves_the_record_as_it_was():
-    t = Table()
-    t.job("j", tasks=50)
-    was = t.rec.digest(), {w.id: list(w.used) for w in t.rec.workers.values()}
-    Round(rec=t.rec, now=t.st >> constants.LOGICAL_BITS, most=400).run()
-    assert was == (t.rec.digest(), {w.id: list(w.used) for w in t.rec.workers.values()})
+    table = Table()
+    table.job("j", tasks=50)
+    before = table.rec.digest(), {worker.id: list(worker.used) for worker in table.rec.workers.values()}
+    Round(rec=table.rec, now=table.st >> constants.LOGICAL_BITS, most=400).run()
+    assert before == (
+        table.rec.digest(),
+        {worker.id: list(worker.used) for worker in table.rec.workers.values()},
+    )
 
 
 def test_what_is_known_of_workers_survives_a_handover_and_probation_ends_with_cause():
-    w, out = World(seed=3, shape=SHAPES["cymylau"], masts=1), {}
-    bad = {
+    world, seen = World(seed=3, shape=SHAPES["cymylau"], masts=1), {}
+    failing_job = {
         "lane": "tiles",
         "steps": [{"name": "a", "kind": "tile", "tasks": 40, "maxFailures": 50, "work": {"ms": 50}}],
     }
 
     async def go():
-        w.start_all()
-        op, req = w.operator(tag="op"), w.requester(tag="r")
-        await op.found(lanes=w.shape.lanes)
-        w.add_crew()
+        world.start_all()
+        operator, client = world.operator(tag="op"), world.requester(tag="r")
+        await operator.found(lanes=world.shape.lanes)
+        world.add_crew()
         await asyncio.sleep(3)
-        w.mates["tile-01"].flop = 1.0
-        for _n in range(6):
-            await req.send(body=bad)
+        world.mates["tile-01"].flop = 1.0
+        for _round in range(6):
+            await client.send(body=failing_job)
             await asyncio.sleep(1)
-        a = w.who("desk", "primary")[0]
-        out["old"] = {i: list(x) for i, x in w.nodes[a].daemon.windows.items()}
-        w.kill(a)
+        primary = world.who("desk", "primary")[0]
+        seen["old"] = {
+            worker_id: list(results) for worker_id, results in world.nodes[primary].daemon.windows.items()
+        }
+        world.kill(primary)
         await asyncio.sleep(4)
-        d = w.nodes[w.who("desk", "primary")[0]].daemon
-        out["relapses"] = d.health["tile-01"].times
-        await req.send(body=bad)  # it is on trial by now, and fails again
+        desk = world.nodes[world.who("desk", "primary")[0]].daemon
+        seen["relapses"] = desk.health["tile-01"].times
+        await client.send(body=failing_job)  # by now the worker is on trial, and fails again
         await asyncio.sleep(1)
-        out["new"] = {i: list(x) for i, x in d.windows.items()}
-        out["flaky"] = d.record.workers["tile-01"].flaky > d.clock_ms()
-        d.judged["tile-01"] = 1.0
-        for _i, x in d.windows.items():
-            x.extend([True] * 20)
+        seen["new"] = {worker_id: list(results) for worker_id, results in desk.windows.items()}
+        seen["flaky"] = desk.record.workers["tile-01"].flaky > desk.clock_ms()
+        desk.judged["tile-01"] = 1.0
+        for _i, results in desk.windows.items():
+            results.extend([True] * 20)
         await asyncio.sleep(2)
-        out["lifted"] = d.record.workers["tile-01"].flaky
-
-    w.run(go())
-    assert out["relapses"] and out["flaky"] and out["lifted"] == 0 and len(out["old"]) > 2
-    same = [i for i in out["old"] if out["new"].get(i, [])[: len(out["old"][i])] == out["old"][i]]
-    assert len(same) > len(out["old"]) / 2
+        seen["lifted"] = desk.record.workers["tile-01"].flaky
+
+    world.run(go())
+    assert seen["relapses"] and seen["flaky"] and seen["lifted"] == 0 and len(seen["old"]) > 2
+    unchanged = [
+        worker_id
+        for worker_id in seen["old"]
+        if seen["new"].get(worker_id, [])[: len(seen["old"][worker_id])] == seen["old"][worker_id]
+    ]
+    assert len(unchanged) > len(seen["old"]) / 2
--- a/tests/test_place_costs.py
+++ b/tests/test_place_costs.py
@@ -1,5 +1,5 @@
-"""What a round of placement costs in a crowd, in counts: workers are looked through for each
-kind of need that waits, and not for each job, gang or rack that is wished for."""
+"""What a round of placement over a large backlog costs, in counts: workers are scanned once for each shape
+that waits, not for each job, gang or preferred rack."""
 
 import pytest
 from test_level_two import ROW, made, step
@@ -14,46 +14,47 @@
 
 @pytest.fixture
 def looks(monkeypatch):
-    """How often a worker's room was looked at: by steps, and by gangs."""
-    n = {"steps": 0, "gangs": 0}
+    """How often a worker's room was checked, for steps and for gangs."""
+    counts = {"steps": 0, "gangs": 0}
 
-    def counted(f, name):
-        def g(**kw):
-            n[name] += 1
-            return f(**kw)
+    def counted(function, name):
+        def wrapper(**kw):
+            counts[name] += 1
+            return function(**kw)
 
-        return g
+        return wrapper
 
     monkeypatch.setattr(fit, "has_room", counted(fit.has_room, "steps"))
     monkeypatch.setattr(gather, "rooms_that_fit", counted(gather.rooms_that_fit, "gangs"))
-    return n
+    return counts
 
 
 def crowd(*, ms, usual=0, idle=0, far=2.0, racks=2, **kw):
-    """A round where all but `idle` workers are full and JOBS jobs wait, each for one of `racks`."""
-    r = made(steps=[step(tasks=WORKERS - idle, room={"cores": 8000})], workers=WORKERS, rows={"q": ROW})
-    r.do(*[["grant", f"j/0.0/{n}", f"w{n}"] for n in range(WORKERS - idle)])
+    """A round in which all but `idle` workers are full and JOBS jobs wait, each preferring one of `racks`
+    racks."""
+    record = made(steps=[step(tasks=WORKERS - idle, room={"cores": 8000})], workers=WORKERS, rows={"q": ROW})
+    record.do(*[["grant", f"j/0.0/{n}", f"w{n}"] for n in range(WORKERS - idle)])
     for n in range(JOBS):
-        r.do(
+        record.do(
             [
                 "job",
                 f"c{n}",
                 *check_job({"lane": "q", "steps": [step(near=f"r{n % racks}", room={"cores": 1000}, **kw)]}),
             ]
         )
-    x = Round(rec=r, now=1000 + ms, most=400, far=far, usual={"q": usual})
-    return x, x.run()
+    placement_round = Round(rec=record, now=1000 + ms, most=400, far=far, usual={"q": usual})
+    return placement_round, placement_round.run()
 
 
 @pytest.mark.parametrize("ms", [constants.GANG_STARVE_MS // 2, 10 * constants.GANG_STARVE_MS])
 def test_a_crowd_of_gangs_looks_through_the_workers_a_few_times(looks, ms):
-    x, _ = crowd(ms=ms, tasks=4, gang=True, tight=True)
-    assert not x.gangs and looks["gangs"] <= 6 * WORKERS
+    placement_round, _ = crowd(ms=ms, tasks=4, gang=True, tight=True)
+    assert not placement_round.gangs and looks["gangs"] <= 6 * WORKERS
 
 
 def test_the_oldest_gangs_that_starve_get_workers_kept_for_them_all_the_same():
-    x, _ = crowd(ms=10 * constants.GANG_STARVE_MS, tasks=4, gang=True)
-    assert {k for k in x.kept.values()} == {("c0", "0.0"), ("c1", "0.0")}
+    placement_round, _ = crowd(ms=10 * constants.GANG_STARVE_MS, tasks=4, gang=True)
+    assert {step_key for step_key in placement_round.kept.values()} == {("c0", "0.0"), ("c1", "0.0")}
 
 
 @pytest.mark.parametrize("ms", [500, 5000])
@@ -63,13 +64,13 @@
 
 
 def test_who_has_waited_enough_still_goes_to_its_own_rack_first():
-    _, out = crowd(ms=5000, usual=2000, idle=2)  # w118 of r0 and w119 of r1 are free
-    on = {t.split("/")[0]: w for t, w in out}
-    assert len(on) == 16 and all(on[f"c{n}"] == f"w{118 + n % 2}" for n in range(16))
+    _, starts = crowd(ms=5000, usual=2000, idle=2)  # w118 of r0 and w119 of r1 are free
+    workers = {task.split("/")[0]: worker for task, worker in starts}
+    assert len(workers) == 16 and all(workers[f"c{n}"] == f"w{118 + n % 2}" for n in range(16))
 
 
 def test_with_its_rack_full_it_goes_elsewhere_once_it_has_waited_and_not_before():
-    assert {w for _, w in crowd(ms=5000, usual=2000, idle=1)[1]} == {"w119"}
+    assert {worker for _, worker in crowd(ms=5000, usual=2000, idle=1)[1]} == {"w119"}
     late, soon = crowd(ms=5000, usual=2000, idle=1)[1], crowd(ms=500, usual=2000, idle=1)[1]
-    assert len(late) == 8 and {t.split("/")[0] for t, _ in late} == {f"c{n}" for n in range(8)}
-    assert {int(t.split("/")[0][1:]) % 2 for t, _ in soon} == {1}
+    assert len(late) == 8 and {task.split("/")[0] for task, _ in late} == {f"c{n}" for n in range(8)}
+    assert {int(task.split("/")[0][1:]) % 2 for task, _ in soon} == {1}
--- a/tests/test_reservations.py
+++ b/tests/test_reservations.py
@@ -1,11 +1,11 @@
-"""Reservations in a whole fleet in virtual time, on several seeds: served beside a crowd,
-through handovers, lost and draining workers, jumping clocks and restarts; lent and given
-back; racing, sent again, refused; and the same seeds without them."""
+"""Reservations in a whole fleet in virtual time, on several seeds: served in a full fleet, through
+fail-overs, lost and draining workers, clock jumps and restarts; lent and given back; requested concurrently,
+sent again, refused; and the same seeds without reservations."""
 
 import asyncio
 
 import pytest
-import reserved_world as V
+import reserved_world
 from reserved_world import clean
 
 from hollowhall.record.reservation_bodies import check_reservation
@@ -13,53 +13,61 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_with_reservations_the_owners_have_all_of_it_soon_and_without_they_have_not(seed):
-    a, b = V.play(seed), V.play(seed, reserved=False)
-    clean(a), clean(b)
-    x, y = V.figures(a), V.figures(b)
-    assert a.got["answer"][0] == 201 and x["most at once"] == V.COUNT
-    assert x["all there after ms"] < 3000 and x["wait worst ms"] < 5000
-    assert y["most at once"] < V.COUNT and x["team begun"] > 3 * y["team begun"]
-    assert x["used"] > y["used"] - 0.06
+    with_it, without_it = reserved_world.play(seed), reserved_world.play(seed, reserved=False)
+    clean(with_it), clean(without_it)
+    reserved, unreserved = reserved_world.figures(with_it), reserved_world.figures(without_it)
+    assert with_it.got["answer"][0] == 201 and reserved["most at once"] == reserved_world.COUNT
+    assert reserved["all there after ms"] < 3000 and reserved["wait worst ms"] < 5000
+    assert (
+        unreserved["most at once"] < reserved_world.COUNT
+        and reserved["team begun"] > 3 * unreserved["team begun"]
+    )
+    assert reserved["used"] > unreserved["used"] - 0.06
 
 
-async def kill_primary(w, op):
-    await asyncio.sleep(V.OPEN + 4 - w.loop.vt)
-    w.kill(w.who("desk", "primary")[0])
+async def kill_primary(world, operator):
+    await asyncio.sleep(reserved_world.OPEN + 4 - world.loop.vt)
+    world.kill(world.who("desk", "primary")[0])
 
 
-async def lose(w, op, at):
-    await asyncio.sleep(at - w.loop.vt)
-    for i in sorted(V.primary(w).reserving.assigned["r"])[:2]:  # two of those that are to serve
-        w.crash_mate(i)
+async def lose(world, operator, at):
+    await asyncio.sleep(at - world.loop.vt)
+    # two of the workers that are to serve the reservation
+    for worker_id in sorted(reserved_world.primary(world).reserving.assigned["r"])[:2]:
+        world.crash_mate(worker_id)
 
 
-async def lose_before(w, op):
-    await lose(w, op, V.OPEN - 4)
+async def lose_before(world, operator):
+    await lose(world, operator, reserved_world.OPEN - 4)
 
 
-async def lose_within(w, op):
-    await lose(w, op, V.OPEN + 4)
+async def lose_within(world, operator):
+    await lose(world, operator, reserved_world.OPEN + 4)
 
 
-async def drain(w, op):
-    await asyncio.sleep(V.OPEN + 3 - w.loop.vt)
-    for i in sorted(V.primary(w).reserving.assigned["r"])[:2]:
-        await op.ask("leave", "POST", f"/v1/workers/{i}/leave", {})
+async def drain(world, operator):
+    await asyncio.sleep(reserved_world.OPEN + 3 - world.loop.vt)
+    for worker_id in sorted(reserved_world.primary(world).reserving.assigned["r"])[:2]:
+        await operator.ask("leave", "POST", f"/v1/workers/{worker_id}/leave", {})
 
 
-async def jump(w, op):
-    for at, by in ((V.OPEN - 8, 3_600_000), (V.OPEN - 2, -3_600_000), (V.OPEN + 3, 3_600_000)):
-        await asyncio.sleep(at - w.loop.vt)
-        w.walls["core-1"] = w.walls["core-2"] = by
+async def jump(world, operator):
+    for at, offset_ms in (
+        (reserved_world.OPEN - 8, 3_600_000),
+        (reserved_world.OPEN - 2, -3_600_000),
+        (reserved_world.OPEN + 3, 3_600_000),
+    ):
+        await asyncio.sleep(at - world.loop.vt)
+        world.walls["core-1"] = world.walls["core-2"] = offset_ms
 
 
-async def restart_all(w, op):
-    """Every daemon of the core machines, one machine after the other, from their disks."""
-    for k in (1, 2, 3):
-        await asyncio.sleep(V.OPEN - 13 + 4 * k - w.loop.vt)
-        names = w.power_off(f"core-{k}")
+async def restart_all(world, operator):
+    """Restarts the daemons of the core machines from their disks, one machine after the other."""
+    for number in (1, 2, 3):
+        await asyncio.sleep(reserved_world.OPEN - 13 + 4 * number - world.loop.vt)
+        names = world.power_off(f"core-{number}")
         await asyncio.sleep(0.5)
-        w.power_on(f"core-{k}", names)
+        world.power_on(f"core-{number}", names)
 
 
 @pytest.mark.parametrize(
@@ -72,162 +80,182 @@
         (jump, (12, 13)),
         (restart_all, (14, 15)),
     ],
-    ids=lambda x: getattr(x, "__name__", ""),
+    ids=lambda value: getattr(value, "__name__", ""),
 )
 def test_the_owners_are_served_through(steps, seeds):
     for seed in seeds:
-        w = V.play(seed, steps=steps)
-        clean(w)
-        x = V.figures(w)
-        assert w.got["answer"][0] == 201 and x["most at once"] == V.COUNT and x["team begun"] > 90
+        world = reserved_world.play(seed, steps=steps)
+        clean(world)
+        figures = reserved_world.figures(world)
+        assert (
+            world.got["answer"][0] == 201
+            and figures["most at once"] == reserved_world.COUNT
+            and figures["team begun"] > 90
+        )
         if steps not in (kill_primary, lose_within, drain):
-            assert x["all there after ms"] < 4000
+            assert figures["all there after ms"] < 4000
 
 
 @pytest.mark.parametrize("seed", [104, 109, 111])
 def test_under_faults_of_every_kind_while_reservations_come_and_go(seed):
-    w = V.stormy(seed)
-    clean(w)
-    assert w.seen["reservations"] > 4 and V.figures(w)["most at once"] >= V.COUNT
+    world = reserved_world.stormy(seed)
+    clean(world)
+    assert (
+        world.seen["reservations"] > 4
+        and reserved_world.figures(world)["most at once"] >= reserved_world.COUNT
+    )
 
 
 def test_in_a_window_whose_owners_want_nothing_only_what_can_be_given_back_runs_there():
     seen = {}
 
-    async def look(w, op):
-        await asyncio.sleep(V.OPEN + 6 - w.loop.vt)
-        d = V.primary(w).record
-        gs = [(d.jobs[g.job].steps[g.step].spec, g) for g in d.legs.values()]
-        seen["fixed"] = sum(not sp.get("saves") for sp, _ in gs)
-        seen["all"] = len(gs)
-
-    w = V.play(16, steps=look, begin=V.CLOSE - 6)
-    clean(w)
+    async def look(world, operator):
+        await asyncio.sleep(reserved_world.OPEN + 6 - world.loop.vt)
+        record = reserved_world.primary(world).record
+        attempts = [
+            (record.jobs[attempt.job].steps[attempt.step].spec, attempt) for attempt in record.legs.values()
+        ]
+        seen["fixed"] = sum(not spec.get("saves") for spec, _ in attempts)
+        seen["all"] = len(attempts)
+
+    world = reserved_world.play(16, steps=look, begin=reserved_world.CLOSE - 6)
+    clean(world)
     assert 24 < seen["all"] and seen["fixed"] <= 24
-    x = V.figures(w)
-    assert x["most at once"] == V.COUNT  # they came late, and all was given back
+    figures = reserved_world.figures(world)
+    # the owners came late, and all lent room was given back
+    assert figures["most at once"] == reserved_world.COUNT
 
 
 def test_before_a_window_only_work_that_ends_in_time_is_lent_room():
     seen = {}
 
-    async def look(w, op):
-        req = w.requester(tag="long")
-        await req.send(body=V.job("batch", 3000, tasks=48, estimateMs=1000))
+    async def look(world, operator):
+        client = world.requester(tag="long")
+        await client.send(body=reserved_world.job("batch", 3000, tasks=48, estimateMs=1000))
         await asyncio.sleep(1)
-        seen["short"] = len(V.primary(w).record.legs)
+        seen["short"] = len(reserved_world.primary(world).record.legs)
         await asyncio.sleep(8)
-        await req.send(body=V.job("batch", 25_000, tasks=48, estimateMs=25_000))
-        await asyncio.sleep(V.OPEN - 0.1 - w.loop.vt)
-        seen["long"] = sum(g.lane == "batch" for g in V.primary(w).record.legs.values())
+        await client.send(body=reserved_world.job("batch", 25_000, tasks=48, estimateMs=25_000))
+        await asyncio.sleep(reserved_world.OPEN - 0.1 - world.loop.vt)
+        seen["long"] = sum(
+            attempt.lane == "batch" for attempt in reserved_world.primary(world).record.legs.values()
+        )
 
-    w = V.play(17, steps=look, crowded=False)
-    clean(w)
-    x = V.figures(w)
-    assert seen == {"short": 48, "long": 24} and x["others stopped"] == 0
-    assert x["all there after ms"] < 1500
+    world = reserved_world.play(17, steps=look, crowded=False)
+    clean(world)
+    figures = reserved_world.figures(world)
+    assert seen == {"short": 48, "long": 24} and figures["others stopped"] == 0
+    assert figures["all there after ms"] < 1500
 
 
 def test_racing_reservations_through_all_masts_are_not_oversold():
     for seed in (18, 19):
-        got = []
+        answers = []
 
-        async def race(w, op, got=got):
-            ops = [w.operator(tag=f"op{n}") for n in range(12)]
-            got.extend(
+        async def race(world, operator, answers=answers):
+            operators = [world.operator(tag=f"op{n}") for n in range(12)]
+            answers.extend(
                 await asyncio.gather(
                     *[
-                        o.reserve(
+                        client.reserve(
                             name=f"x{n}",
-                            body=V.body(count=4, fromMs=V.ms(V.CLOSE + n % 3), untilMs=V.ms(V.CLOSE + 9)),
+                            body=reserved_world.body(
+                                count=4,
+                                fromMs=reserved_world.ms(reserved_world.CLOSE + n % 3),
+                                untilMs=reserved_world.ms(reserved_world.CLOSE + 9),
+                            ),
                         )
-                        for n, o in enumerate(ops)
+                        for n, client in enumerate(operators)
                     ]
                 )
             )
 
-        w = V.play(seed, steps=race, crowded=False, end=V.OPEN)
-        clean(w)
-        assert sorted(st for st, _ in got) == [201] * 6 + [409] * 6
-        assert {(v["problem"], v["why"]) for st, v in got if st == 409} == {("NotReserved", "capacity")}
+        world = reserved_world.play(seed, steps=race, crowded=False, end=reserved_world.OPEN)
+        clean(world)
+        assert sorted(status for status, _ in answers) == [201] * 6 + [409] * 6
+        assert {(body["problem"], body["why"]) for status, body in answers if status == 409} == {
+            ("NotReserved", "capacity")
+        }
 
 
 def test_a_crowd_of_reservations_is_told_to_come_back_at_once():
-    got = []
+    results = []
 
-    async def steps(w, op):
-        d = V.primary(w)
-        spec, digest = check_reservation(V.body(count=1))
+    async def steps(world, operator):
+        desk = reserved_world.primary(world)
+        spec, digest = check_reservation(reserved_world.body(count=1))
         for n in range(20):
-            d.on_reserve(
-                request={"name": f"x{n}", "spec": spec, "digest": digest}, callback=got.append, caller=""
+            desk.on_reserve(
+                request={"name": f"x{n}", "spec": spec, "digest": digest}, callback=results.append, caller=""
             )
-        assert [type(o).__name__ for o in got] == ["Full"] * 12 and got[0].after >= 1
+        assert [type(result).__name__ for result in results] == ["Full"] * 12 and results[0].after >= 1
         await asyncio.sleep(1)
-        assert d.reserves_pending == 0
+        assert desk.reserves_pending == 0
 
-    w = V.play(19, steps=steps, crowded=False, reserved=False, end=V.OPEN)
-    clean(w)
-    assert sum(o.ok for o in got) == 8
+    world = reserved_world.play(19, steps=steps, crowded=False, reserved=False, end=reserved_world.OPEN)
+    clean(world)
+    assert sum(result.ok for result in results) == 8
 
 
 @pytest.mark.parametrize("seed", [20, 21, 22])
 def test_confirmed_is_kept_when_the_primary_dies_and_silence_is_cured_by_sending_again(seed):
     got = {}
 
-    async def steps(w, op):
-        b = V.body(count=2, fromMs=V.ms(60), untilMs=V.ms(70))
-        got["first"] = await op.reserve(name="q", body=b)
-        w.kill(w.who("desk", "primary")[0])
+    async def steps(world, operator):
+        body = reserved_world.body(count=2, fromMs=reserved_world.ms(60), untilMs=reserved_world.ms(70))
+        got["first"] = await operator.reserve(name="q", body=body)
+        world.kill(world.who("desk", "primary")[0])
         await asyncio.sleep(0.05 * seed % 0.2)
-        t = asyncio.ensure_future(op.reserve(name="s", body=b))
-        st, v = await op.reserve(name="q", body=b)
-        got["again"] = (st, v.get("new"), (await t)[0])
-        w.kill((w.who("desk", "primary") or ["none"])[0])
-        got["s"] = await op.reserve(name="s", body=b)
-        got["other"] = await op.reserve(name="s", body=b | {"count": 1})
-        for n in ("q", "s"):
-            got[n] = 0
-            while got[n] != 200:
-                got[n] = (await op.reservation(n))[0]
-        got["shorter"] = await op.shorten("q", {"count": 1, "untilMs": V.ms(65)})
-        got["gone"] = [await op.release("q"), await op.release("q")]
-        got["late"] = await op.reserve(name="q", body=b)
-
-    w = V.play(seed, steps=steps, crowded=False, reserved=False, end=V.OPEN)
-    clean(w)
+        second = asyncio.ensure_future(operator.reserve(name="s", body=body))
+        status, view = await operator.reserve(name="q", body=body)
+        got["again"] = (status, view.get("new"), (await second)[0])
+        world.kill((world.who("desk", "primary") or ["none"])[0])
+        got["s"] = await operator.reserve(name="s", body=body)
+        got["other"] = await operator.reserve(name="s", body=body | {"count": 1})
+        for name in ("q", "s"):
+            got[name] = 0
+            while got[name] != 200:
+                got[name] = (await operator.reservation(name))[0]
+        got["shorter"] = await operator.shorten("q", {"count": 1, "untilMs": reserved_world.ms(65)})
+        got["gone"] = [await operator.release("q"), await operator.release("q")]
+        got["late"] = await operator.reserve(name="q", body=body)
+
+    world = reserved_world.play(seed, steps=steps, crowded=False, reserved=False, end=reserved_world.OPEN)
+    clean(world)
     assert got["first"][0] == 201 and got["again"] == (200, False, 201)
     assert (got["q"], got["s"]) == (200, 200) and got["other"][1]["problem"] == "OtherBody"
-    assert got["shorter"][1]["count"] == 1 and [x[1]["state"] for x in got["gone"]] == ["released"] * 2
+    assert (
+        got["shorter"][1]["count"] == 1 and [answer[1]["state"] for answer in got["gone"]] == ["released"] * 2
+    )
     assert got["late"][1]["state"] == "released" and not got["late"][1]["new"]
 
 
 def test_refusals_are_typed_and_said_at_once():
     got = {}
 
-    async def steps(w, op):
+    async def steps(world, operator):
         async def put(name, **kw):
-            t = w.loop.vt
-            st, v = await op.reserve(name=name, body=V.body(**kw), tries=1)
-            assert w.loop.vt - t < 0.5
-            return st, v.get("problem"), v.get("why"), v.get("free")
+            started_at = world.loop.vt
+            status, body = await operator.reserve(name=name, body=reserved_world.body(**kw), tries=1)
+            assert world.loop.vt - started_at < 0.5
+            return status, body.get("problem"), body.get("why"), body.get("free")
 
         got["kind"] = await put("a", kind="none")
         got["large"] = await put("b", room={"cores": 1, "gpus": 9})
         got["many"] = await put("c", count=25)
-        got["past"] = await put("d", fromMs=V.ms(-200), untilMs=V.ms(0))
+        got["past"] = await put("d", fromMs=reserved_world.ms(-200), untilMs=reserved_world.ms(0))
         got["lane"] = await put("e", lanes=["none"])
         got["bad"] = (await put("f", untilMs=0))[:2]
-        got["list"] = (await op.ask("list", "GET", "/v1/reservations"))[1]
-        for m, p in (("GET", "none"), ("DELETE", "none"), ("PATCH", "none"), ("POST", "none")):
-            st, v, _ = await op.ask("x", m, f"/v1/reservations/{p}", {"count": 1})
-            got[m] = (st, v["problem"])
-
-    w = V.play(23, steps=steps, crowded=False, reserved=False, end=V.OPEN)
-    clean(w)
-    no = (409, "NotReserved")
-    assert got["kind"] == (*no, "kind", 0) and got["large"] == (*no, "room", 0)
-    assert got["many"] == (*no, "capacity", 24) and got["past"] == (*no, "past", 0)
-    assert got["lane"] == (*no, "lane", 0) and got["bad"] == (422, "BadInput")
+        got["list"] = (await operator.ask("list", "GET", "/v1/reservations"))[1]
+        for method, path in (("GET", "none"), ("DELETE", "none"), ("PATCH", "none"), ("POST", "none")):
+            status, body, _ = await operator.ask("x", method, f"/v1/reservations/{path}", {"count": 1})
+            got[method] = (status, body["problem"])
+
+    world = reserved_world.play(23, steps=steps, crowded=False, reserved=False, end=reserved_world.OPEN)
+    clean(world)
+    refused = (409, "NotReserved")
+    assert got["kind"] == (*refused, "kind", 0) and got["large"] == (*refused, "room", 0)
+    assert got["many"] == (*refused, "capacity", 24) and got["past"] == (*refused, "past", 0)
+    assert got["lane"] == (*refused, "lane", 0) and got["bad"] == (422, "BadInput")
     assert got["list"] == {"reservations": []} and got["POST"] == (405, "BadMethod")
-    assert {got[m] for m in ("GET", "DELETE", "PATCH")} == {(404, "Unknown")}
+    assert {got[method] for method in ("GET", "DELETE", "PATCH")} == {(404, "Unknown")}
--- a/tests/test_reservations_unused.py
+++ b/tests/test_reservations_unused.py
@@ -1,17 +1,19 @@
-"""Reservations at an older level, and what they cost where none is made."""
+"""Reservations at an older level of the record, and their cost where none exists."""
 
-import reserved_world as V
+import reserved_world
 from reserved_world import clean
 
 
 def test_an_older_level_refuses_them_as_not_yet_known():
     got = {}
 
-    async def steps(w, op):
-        got["x"] = await op.reserve(name="x", body=V.body(), tries=1)
+    async def steps(world, operator):
+        got["x"] = await operator.reserve(name="x", body=reserved_world.body(), tries=1)
 
-    w = V.play(24, steps=steps, crowded=False, reserved=False, end=10, begin=9, params={"level": 2})
-    clean(w)
+    world = reserved_world.play(
+        24, steps=steps, crowded=False, reserved=False, end=10, begin=9, params={"level": 2}
+    )
+    clean(world)
     assert got["x"][0] == 503 and got["x"][1]["problem"] == "NotSynced"
 
 
@@ -20,6 +22,6 @@
         raise AssertionError
 
     monkeypatch.setattr("hollowhall.desk.reserved_plan.Plan", broken)
-    w = V.play(25, reserved=False, end=12, begin=10)
-    clean(w)
-    assert w.seen["ends_ok"] > 50
+    world = reserved_world.play(25, reserved=False, end=12, begin=10)
+    clean(world)
+    assert world.seen["ends_ok"] > 50
--- a/tests/test_reservations_weak.py
+++ b/tests/test_reservations_weak.py
@@ -1,11 +1,11 @@
-"""Reservations without one protection each: the checker finds what must never happen, and
-the real daemons are clean under the same. And histories with a planted violation."""
+"""Reservations with one protection removed each: the checker finds the violation, and the real daemons show
+none under the same load. Also histories with a planted violation."""
 
 import asyncio
 
 import pytest
-import reserved_world as V
-import weak as W
+import reserved_world
+import weak
 from reserved_world import clean
 
 from hollowhall.base.problems import Success
@@ -15,7 +15,7 @@
 
 
 class NoShare(Record):
-    """Confirms whatever is wanted."""
+    """Confirms more than the capacity."""
 
     def refusal_of(self, r, *, now, percent):
         why, fits = super().refusal_of(r, now=now, percent=percent)
@@ -23,22 +23,22 @@
 
 
 class JudgesEarly(Desk):
-    """Judges when it is asked, and not when the entry is applied."""
+    """Checks the capacity when the request arrives, not when the entry is applied."""
 
     abstract = False
     make_record = NoShare
 
     def on_reserve(self, *, request, callback, caller):
-        sp = request["spec"]
-        n = sum(r.count for r in self.record.reservations.values())
-        if n + sp["count"] <= 24:
+        spec = request["spec"]
+        confirmed = sum(reservation.count for reservation in self.record.reservations.values())
+        if confirmed + spec["count"] <= 24:
             super().on_reserve(request=request, callback=callback, caller=caller)
         else:
             callback(self.not_primary())
 
 
 class NoPlan(Desk):
-    """Confirms and does nothing more."""
+    """Confirms reservations but keeps no room for them."""
 
     abstract = False
 
@@ -47,7 +47,7 @@
 
 
 class NeverStops(Desk):
-    """Keeps room free, but gives nothing back that was lent."""
+    """Keeps free room for owners, but stops nothing that runs in lent room."""
 
     abstract = False
 
@@ -56,7 +56,7 @@
 
 
 class SaysTooEarly(Desk):
-    """Tells of a confirmation before it is committed, and proposes it late."""
+    """Confirms to the client before the commit, and proposes the event 1 s later."""
 
     abstract = False
 
@@ -64,57 +64,67 @@
         if self.ready_to(callback):
             callback(Success(value={"new": True, "state": "waiting"}))
             asyncio.get_running_loop().call_later(
-                1.0, lambda: Desk.on_reserve(self, request=request, callback=lambda o: None, caller=caller)
+                1.0,
+                lambda: Desk.on_reserve(self, request=request, callback=lambda result: None, caller=caller),
             )
 
 
-async def many(w, op):
-    ops = [w.operator(tag=f"op{n}") for n in range(4)]
+async def overbook(world, operator):
+    operators = [world.operator(tag=f"op{n}") for n in range(4)]
     await asyncio.gather(
         *[
-            o.reserve(name=f"x{n}", tries=3, body=V.body(count=10, fromMs=V.ms(60), untilMs=V.ms(70)))
-            for n, o in enumerate(ops)
+            client.reserve(
+                name=f"x{n}",
+                tries=3,
+                body=reserved_world.body(
+                    count=10, fromMs=reserved_world.ms(60), untilMs=reserved_world.ms(70)
+                ),
+            )
+            for n, client in enumerate(operators)
         ]
     )
 
 
-async def kill_and_read(w, op):
-    await op.reserve(name="q", body=V.body(count=1, fromMs=V.ms(60), untilMs=V.ms(70)))
-    w.kill(w.who("desk", "primary")[0])
+async def kill_and_read(world, operator):
+    await operator.reserve(
+        name="q",
+        body=reserved_world.body(count=1, fromMs=reserved_world.ms(60), untilMs=reserved_world.ms(70)),
+    )
+    world.kill(world.who("desk", "primary")[0])
     await asyncio.sleep(6)
-    await op.reservation("q")
+    await operator.reservation("q")
 
 
-async def lasting(w, op):
-    """Work that takes far longer than it says."""
-    req = w.requester(tag="long")
+async def lasting(world, operator):
+    """Sends work that takes far longer than its estimate."""
+    client = world.requester(tag="long")
     for _n in range(6):
-        await req.send(body=V.job("batch", 40_000, tasks=8, estimateMs=500))
+        await client.send(body=reserved_world.job("batch", 40_000, tasks=8, estimateMs=500))
 
 
 @pytest.mark.parametrize(
     "rule, build, steps",
     [
-        ("oversold", W.with_record(NoShare), many),
-        ("oversold", W.with_record(NoShare) | {"desk": JudgesEarly}, many),
-        ("unserved", W.REAL | {"desk": NoPlan}, lasting),
-        ("unserved", W.REAL | {"desk": NeverStops}, lasting),
-        ("forgotten", W.REAL | {"desk": SaysTooEarly}, kill_and_read),
+        ("oversold", weak.with_record(NoShare), overbook),
+        ("oversold", weak.with_record(NoShare) | {"desk": JudgesEarly}, overbook),
+        ("unserved", weak.REAL | {"desk": NoPlan}, lasting),
+        ("unserved", weak.REAL | {"desk": NeverStops}, lasting),
+        ("forgotten", weak.REAL | {"desk": SaysTooEarly}, kill_and_read),
     ],
     ids=["no-share", "judged-early", "no-plan", "never-stops", "told-early"],
 )
 def test_weak_versions_are_caught_and_the_real_one_is_clean(rule, build, steps):
-    kw = {
+    settings = {
         "crowded": False,
         "steps": steps,
         "reserved": steps is lasting,
-        "end": V.CLOSE if steps is lasting else V.OPEN,
+        "end": reserved_world.CLOSE if steps is lasting else reserved_world.OPEN,
     }
-    assert rule in {b.rule for b in V.play(26, build=build, **kw).bad}
-    clean(V.play(26, **kw))
+    assert rule in {violation.rule for violation in reserved_world.play(26, build=build, **settings).bad}
+    clean(reserved_world.play(26, **settings))
 
 
-B = {
+RESERVATION = {
     "kind": "gpu",
     "count": 4,
     "room": {"cores": 1, "gpus": 1},
@@ -125,9 +135,9 @@
 
 
 def history():
-    """One worker of eight; half of it may be reserved; four of it are. Work waits for 10 s in the
-    window, while others run on all of it."""
-    out = [
+    """A history with one worker of 8 accelerators, of which half may be reserved and 4 are. Work of the
+    owners waits for 10 s in the window, while others use all of the worker."""
+    rows = [
         {"t": 0, "ev": "share", "percent": 50},
         {
             "t": 1,
@@ -141,21 +151,21 @@
         },
     ]
 
-    def job(t, name, lane, tasks):
-        b = {
+    def job(ms, name, lane, tasks):
+        body = {
             "lane": lane,
             "steps": [{"name": "s", "kind": "gpu", "tasks": tasks, "room": {"cores": 1, "gpus": 1}}],
         }
-        out.extend(
-            {"t": t + i, "ev": e, "id": name, "name": name, "body": b, **more}
-            for i, (e, more) in enumerate(
+        rows.extend(
+            {"t": ms + i, "ev": event, "id": name, "name": name, "body": body, **more}
+            for i, (event, more) in enumerate(
                 (("put", {}), ("put.out", {"status": 201, "taken": "yes", "new": True}))
             )
         )
 
-    reserve(out, 10, "x", B)
+    reserve(rows, 10, "x", RESERVATION)
     job(100, "o", "b", 8)
-    out += [
+    rows += [
         {
             "t": 200 + i,
             "ev": "start",
@@ -169,20 +179,20 @@
         for i in range(8)
     ]
     job(21_000, "j", "a", 4)
-    out += [{"t": 15_000 + 500 * i, "ev": "tick"} for i in range(32)]
-    return out
+    rows += [{"t": 15_000 + 500 * i, "ev": "tick"} for i in range(32)]
+    return rows
 
 
-def reserve(out, task, name, body, state="waiting"):
-    out += [
-        {"t": task, "ev": "reserve", "id": name, "name": name, "body": body},
+def reserve(rows, ms, name, body, state="waiting"):
+    rows += [
+        {"t": ms, "ev": "reserve", "id": name, "name": name, "body": body},
         {
-            "t": task + 1,
+            "t": ms + 1,
             "ev": "reserve.out",
             "id": name,
             "name": name,
             "body": body,
-            "at": task,
+            "at": ms,
             "status": 201,
             "taken": "yes",
             "new": True,
@@ -191,34 +201,34 @@
     ]
 
 
-def found(rows):
-    return [b.rule for b in judge(rows)[0] if b.rule not in ("forgotten", "unserved")] or [
-        b.rule for b in judge(rows)[0]
-    ]
+def rules_broken(rows):
+    return [
+        violation.rule for violation in judge(rows)[0] if violation.rule not in ("forgotten", "unserved")
+    ] or [violation.rule for violation in judge(rows)[0]]
 
 
 def test_a_planted_wait_in_the_window_is_found_and_excused_only_with_cause():
-    assert "unserved" in {b.rule for b in judge(history())[0]}
-    for plant in (
+    assert "unserved" in {violation.rule for violation in judge(history())[0]}
+    for planted in (
         {"t": 12_500, "ev": "fault", "kind": "x", "until": 13_000},
         {"t": 20_500, "ev": "release", "id": "q", "name": "x"},
         {"t": 24_000, "ev": "left", "w": "w1", "boot": "1"},
     ):
         rows = history()
-        rows.append(plant)
-        late = plant["t"] == 12_500  # long past when the wait has lasted for its time
-        assert ("unserved" in {b.rule for b in judge(rows)[0]}) is late, plant
+        rows.append(planted)
+        late = planted["t"] == 12_500  # over long before the wait, so it does not excuse it
+        assert ("unserved" in {violation.rule for violation in judge(rows)[0]}) is late, planted
 
 
 def test_planted_confirmations_that_cannot_be():
     rows = history()
-    reserve(rows, 12, "y", B | {"count": 1, "fromMs": 59_000, "untilMs": 70_000})
-    assert "oversold" in found(rows)
+    reserve(rows, 12, "y", RESERVATION | {"count": 1, "fromMs": 59_000, "untilMs": 70_000})
+    assert "oversold" in rules_broken(rows)
     rows = history()
-    reserve(rows, 12, "y", B | {"fromMs": 60_000, "untilMs": 70_000})
-    assert "oversold" not in found(rows)
-    reserve(rows, 14, "y", B | {"fromMs": 60_001, "untilMs": 70_000})
-    assert "second-reservation" in found(rows)
+    reserve(rows, 12, "y", RESERVATION | {"fromMs": 60_000, "untilMs": 70_000})
+    assert "oversold" not in rules_broken(rows)
+    reserve(rows, 14, "y", RESERVATION | {"fromMs": 60_001, "untilMs": 70_000})
+    assert "second-reservation" in rules_broken(rows)
     rows = history()
     rows.append({"t": 300, "ev": "reservation.out", "id": "g", "name": "x", "at": 200, "status": 404})
-    assert any("reservation x" in b.text for b in judge(rows)[0])
+    assert any("reservation x" in violation.text for violation in judge(rows)[0])
--- a/tests/test_reserving.py
+++ b/tests/test_reserving.py
@@ -1,6 +1,6 @@
-"""The plan of who serves the reservations, on the desk's own placement over a record: it
-stays and is mapped anew, gangs and urgent work keep off what is reserved, owners have it
-whatever waits, and what was lent is given back at the least loss."""
+"""The plan of which workers serve the reservations, on the scheduler's own placement over a record: the
+mapping stays and lost room is mapped again, gangs and urgent work leave reserved room free, owners get it
+whatever else waits, and lent room is given back at the least loss."""
 
 from types import SimpleNamespace
 
@@ -15,7 +15,7 @@
 
 
 class Primary(PlaceMixin, PaceMixin):
-    """A desk's placement alone: `turn` does what it decides at a moment."""
+    """Only the placement of a scheduler: `run_round` applies what a round decides at a time."""
 
     def __init__(self, **kw):
         self.record, self.said = made(**kw), []
@@ -28,12 +28,12 @@
     def clock_ms(self):
         return self.ms
 
-    def say(self, e, **f):
-        self.said.append((e.no, f))
+    def say(self, event, **fields):
+        self.said.append((event.no, fields))
 
     def job(self, name, lane, tasks=1, *, gpus=1, **kw):
-        job = {x: kw.pop(x) for x in ("standing",) if x in kw}
-        spec, dg = check_job(
+        job = {key: kw.pop(key) for key in ("standing",) if key in kw}
+        spec, digest = check_job(
             {
                 "lane": lane,
                 **job,
@@ -42,199 +42,206 @@
                 ],
             }
         )
-        assert self.record.do(["job", name, spec, dg], ms=self.ms - T)[0][0] == "new"
+        assert self.record.do(["job", name, spec, digest], ms=self.ms - T)[0][0] == "new"
 
-    def turn(self, ms):
-        """What starts and what is stopped at T + ms: ({job: how many}, [stopped jobs])."""
+    def run_round(self, ms):
+        """Runs a round at T + ms: ({job: tasks started}, [job of each stopped attempt])."""
         self.ms = T + ms
-        evs = self.place_all(most=400)
-        out, starts, stops = self.record.do(*evs, ms=ms), {}, []
-        for ev, r in zip(evs, out):
-            assert r[0] in ("ok", "late"), (ev, r)
-            if ev[0] == "stop":
-                g = self.record.legs[ev[1]]
-                stops.append(g.job)
+        events = self.place_all(most=400)
+        results, starts, stops = self.record.do(*events, ms=ms), {}, []
+        for event, result in zip(events, results):
+            assert result[0] in ("ok", "late"), (event, result)
+            if event[0] == "stop":
+                attempt = self.record.legs[event[1]]
+                stops.append(attempt.job)
             else:
-                n = len(ev[3]) if ev[0] == "gang" else 1
-                j = ev[1].split("/")[0]
-                starts[j] = starts.get(j, 0) + n
+                count = len(event[3]) if event[0] == "gang" else 1
+                job = event[1].split("/")[0]
+                starts[job] = starts.get(job, 0) + count
         return starts, stops
 
-    def stopped(self, ms):
-        """The workers have carried out what they were told."""
-        for g in [g for g in self.record.legs.values() if g.stop]:
-            self.record.do(["end", g.run, "stopped", ""], ms=ms)
+    def end_stopped(self, ms):
+        """Ends the attempts that the workers were told to stop."""
+        for attempt in [attempt for attempt in self.record.legs.values() if attempt.stop]:
+            self.record.do(["end", attempt.run, "stopped", ""], ms=ms)
 
     def used(self):
-        return sum(w.used[2] for w in self.record.workers.values())
+        return sum(worker.used[2] for worker in self.record.workers.values())
 
 
 @pytest.fixture
-def p():
-    """Four workers of 8, of which 16 are reserved for lane a from T + 10 s to T + 20 s."""
-    p = Primary()
-    p.ms = T
-    assert reserve(p.record, "x", count=16)[0] == "new"
-    return p
-
-
-def test_before_the_window_room_goes_to_what_ends_in_time_or_can_be_given_back(p):
-    p.job("unknown", "b", 40)
-    assert p.turn(0)[0] == {"unknown": 16}
-    p.job("short", "b", 6, estimateMs=4000)
-    p.job("long", "b", 6, estimateMs=5000)
-    p.job("bound", "b", 2, runMs=8000)
-    p.job("saved", "b", 4, saves=True, estimateMs=60_000)
-    p.job("ever", "b", 4, saves=True, forever=True)
-    assert p.turn(10)[0] == {"short": 6, "bound": 2, "saved": 4}
-
-
-def test_a_step_that_only_reservations_hold_back_says_so(p):
-    reserve(p.record, "all", 100, count=16)
-    p.job("b", "b")
-    assert p.turn(0) == ({}, []) and p.why_waits(("b", "s")) == "reserved"
-
-
-def test_in_the_window_owners_have_it_whatever_waits_and_no_one_else(p):
-    p.job("hot", "hot", 40, estimateMs=900)
-    p.job("mine", "a", 30)
-    starts, _ = p.turn(10_000)
-    assert starts == {"hot": 16, "mine": 16} and p.used() == 32
-    assert p.turn(10_400) == ({}, [])  # urgent work stops no owner, saved or not
-
-
-def test_what_the_owners_do_not_want_is_lent_and_given_back_at_once(p):
-    p.job("saved", "b", 40, saves=True)
-    assert p.turn(10_100)[0] == {"saved": 32}
-    p.job("mine", "a", 6)
-    starts, stops = p.turn(10_200)
+def primary():
+    """Four workers of 8 accelerators, of which 16 are reserved for queue a from T + 10 s to T + 20 s."""
+    primary = Primary()
+    primary.ms = T
+    assert reserve(primary.record, "x", count=16)[0] == "new"
+    return primary
+
+
+def test_before_the_window_room_goes_to_what_ends_in_time_or_can_be_given_back(primary):
+    primary.job("unknown", "b", 40)
+    assert primary.run_round(0)[0] == {"unknown": 16}
+    primary.job("short", "b", 6, estimateMs=4000)
+    primary.job("long", "b", 6, estimateMs=5000)
+    primary.job("bound", "b", 2, runMs=8000)
+    primary.job("saved", "b", 4, saves=True, estimateMs=60_000)
+    primary.job("ever", "b", 4, saves=True, forever=True)
+    assert primary.run_round(10)[0] == {"short": 6, "bound": 2, "saved": 4}
+
+
+def test_a_step_that_only_reservations_hold_back_says_so(primary):
+    reserve(primary.record, "all", 100, count=16)
+    primary.job("b", "b")
+    assert primary.run_round(0) == ({}, []) and primary.why_waits(("b", "s")) == "reserved"
+
+
+def test_in_the_window_owners_have_it_whatever_waits_and_no_one_else(primary):
+    primary.job("hot", "hot", 40, estimateMs=900)
+    primary.job("mine", "a", 30)
+    starts, _ = primary.run_round(10_000)
+    assert starts == {"hot": 16, "mine": 16} and primary.used() == 32
+    # urgent work stops no attempt of the owners, with checkpoints or without
+    assert primary.run_round(10_400) == ({}, [])
+
+
+def test_what_the_owners_do_not_want_is_lent_and_given_back_at_once(primary):
+    primary.job("saved", "b", 40, saves=True)
+    assert primary.run_round(10_100)[0] == {"saved": 32}
+    primary.job("mine", "a", 6)
+    starts, stops = primary.run_round(10_200)
     assert starts == {} and stops == ["saved"] * 6
-    p.stopped(10_300)
-    assert p.turn(10_400) == ({"mine": 6}, [])
-    assert p.record.jobs["saved"].tasks["saved/s/0"].fails == 0
+    primary.end_stopped(10_300)
+    assert primary.run_round(10_400) == ({"mine": 6}, [])
+    assert primary.record.jobs["saved"].tasks["saved/s/0"].fails == 0
 
 
 def test_what_cannot_be_given_back_is_stopped_last_and_a_moment_into_the_window():
-    p = Primary()
-    p.ms = T
-    p.job("fixed", "b", 24)
-    p.job("saved", "b", 8, saves=True)
-    assert sum(p.turn(0)[0].values()) == 32  # before anything was reserved
-    reserve(p.record, "x", count=16)
-    p.job("mine", "a", 16)
-    assert p.turn(7_900) == ({}, [])
-    assert set(p.turn(8_100)[1]) == {"saved"}
-    p.stopped(8_200)
-    n = p.turn(10_000)[0].get("mine", 0)
-    assert n == 8 and p.turn(10_900)[1] == []
-    for k in range(3):
-        p.turn(11_100 + 200 * k)
-        p.stopped(11_200 + 200 * k)
-    assert sum(g.lane == "a" for g in p.record.legs.values()) == 16
-
-
-def test_gangs_keep_off_and_owners_gangs_start(p):
-    p.job("gang", "b", 20, gang=True)
-    p.job("other", "b", 16, gang=True)
-    assert p.turn(10_000)[0] == {"other": 16}
-    p.job("mine", "a", 12, gang=True)
-    assert p.turn(10_100)[0] == {"mine": 12}
+    primary = Primary()
+    primary.ms = T
+    primary.job("fixed", "b", 24)
+    primary.job("saved", "b", 8, saves=True)
+    assert sum(primary.run_round(0)[0].values()) == 32  # before anything was reserved
+    reserve(primary.record, "x", count=16)
+    primary.job("mine", "a", 16)
+    assert primary.run_round(7_900) == ({}, [])
+    assert set(primary.run_round(8_100)[1]) == {"saved"}
+    primary.end_stopped(8_200)
+    started = primary.run_round(10_000)[0].get("mine", 0)
+    assert started == 8 and primary.run_round(10_900)[1] == []
+    for n in range(3):
+        primary.run_round(11_100 + 200 * n)
+        primary.end_stopped(11_200 + 200 * n)
+    assert sum(attempt.lane == "a" for attempt in primary.record.legs.values()) == 16
+
+
+def test_gangs_keep_off_and_owners_gangs_start(primary):
+    primary.job("gang", "b", 20, gang=True)
+    primary.job("other", "b", 16, gang=True)
+    assert primary.run_round(10_000)[0] == {"other": 16}
+    primary.job("mine", "a", 12, gang=True)
+    assert primary.run_round(10_100)[0] == {"mine": 12}
 
 
 def test_a_gang_that_borrowed_is_stopped_whole():
-    p = Primary()
-    p.ms = T
-    p.job("gang", "b", 32, gang=True)
-    assert p.turn(0)[0] == {"gang": 32}
-    reserve(p.record, "x", count=16)
-    p.job("mine", "a", 1)
-    assert p.turn(10_500)[1] == [] and p.turn(11_100)[1] == ["gang"] * 32
-
-
-def test_a_worker_kept_for_a_large_task_still_serves_owners(p):
-    p.kept = {i: ("large", "s") for i in p.record.workers}
-    p.job("large", "b", 1, gpus=8)
-    p.job("mine", "a", 16)
-    assert p.turn(10_000)[0]["mine"] == 16
-
-
-def test_a_copy_keeps_off(p):
-    p.job("c", "b", 16, copies=True)
-    p.turn(10_000)
-    g = next(iter(p.record.legs.values()))
-    ws, s = list(p.record.workers.values()), p.record.jobs["c"].steps["s"]
-    assert not p.copy(attempt=g, step=s, workers=ws, ms=T + 10_000) and p.turn(20_000) == ({}, [])
-    p.hold_event = lambda event: p.said.append(event)
-    assert p.copy(attempt=g, step=s, workers=ws, ms=T + 20_000)
-
-
-def test_the_plan_stays_and_what_is_lost_is_mapped_anew_the_first_confirmed_first(p):
-    reserve(p.record, "y", 100, count=8, fromMs=T + 5_000)
-    p.turn(0)
-    at = {i: dict(x) for i, x in p.reserving.assigned.items()}
-    assert {i: sum(x.values()) for i, x in at.items()} == {"x": 16, "y": 8}
-    p.turn(300)
-    assert p.reserving.assigned == at
-    gone = sorted(at["x"])[0]
-    p.record.do(["leave", gone, "1"])
-    p.turn(600)
-    new = p.reserving.assigned
-    assert gone not in new["x"] and sum(new["x"].values()) == 16 and sum(new["y"].values()) == 8
-    p.record.do(["evacuate", "z1", True])
-    p.turn(900)
-    assert sum(p.reserving.assigned["x"].values()) == 8 and p.reserving.assigned["y"] == {}
-    assert [(no, f["missing"]) for no, f in p.said] == [(420, 8), (420, 8)]
-    p.record.do(["evacuate", "z1", False])
-    p.turn(1_200)
-    assert [no for no, _ in p.said[2:]] == [421, 421]
-
-
-def test_owners_elsewhere_count_and_more_than_the_count_is_not_kept(p):
-    p.job("mine", "a", 12)
-    assert p.turn(9_000)[0] == {"mine": 12}  # before the window, wherever there is room
-    p.job("hot", "hot", 40, estimateMs=100_000)
-    p.turn(10_000)
-    assert p.used() == 28 and sum(g.lane == "hot" for g in p.record.legs.values()) == 16
-
-
-def test_windows_that_follow_each_other_share_workers(p):
-    reserve(p.record, "y", count=16, fromMs=T + 20_000, untilMs=T + 30_000, lanes=["b"])
-    p.job("hot", "hot", 40)
-    assert p.turn(0)[0] == {"hot": 16}
-    p.job("mine", "b", 16, estimateMs=1000)
-    assert p.turn(18_400)[0] == {}
-    assert p.turn(20_000)[0] == {"mine": 16}
+    primary = Primary()
+    primary.ms = T
+    primary.job("gang", "b", 32, gang=True)
+    assert primary.run_round(0)[0] == {"gang": 32}
+    reserve(primary.record, "x", count=16)
+    primary.job("mine", "a", 1)
+    assert primary.run_round(10_500)[1] == [] and primary.run_round(11_100)[1] == ["gang"] * 32
+
+
+def test_a_worker_kept_for_a_large_task_still_serves_owners(primary):
+    primary.kept = {worker_id: ("large", "s") for worker_id in primary.record.workers}
+    primary.job("large", "b", 1, gpus=8)
+    primary.job("mine", "a", 16)
+    assert primary.run_round(10_000)[0]["mine"] == 16
+
+
+def test_a_copy_keeps_off(primary):
+    primary.job("c", "b", 16, copies=True)
+    primary.run_round(10_000)
+    attempt = next(iter(primary.record.legs.values()))
+    workers, step = list(primary.record.workers.values()), primary.record.jobs["c"].steps["s"]
+    assert not primary.copy(attempt=attempt, step=step, workers=workers, ms=T + 10_000) and primary.run_round(
+        20_000
+    ) == ({}, [])
+    primary.hold_event = lambda event: primary.said.append(event)
+    assert primary.copy(attempt=attempt, step=step, workers=workers, ms=T + 20_000)
+
+
+def test_the_plan_stays_and_what_is_lost_is_mapped_anew_the_first_confirmed_first(primary):
+    reserve(primary.record, "y", 100, count=8, fromMs=T + 5_000)
+    primary.run_round(0)
+    assigned = {name: dict(workers) for name, workers in primary.reserving.assigned.items()}
+    assert {name: sum(workers.values()) for name, workers in assigned.items()} == {"x": 16, "y": 8}
+    primary.run_round(300)
+    assert primary.reserving.assigned == assigned
+    gone = sorted(assigned["x"])[0]
+    primary.record.do(["leave", gone, "1"])
+    primary.run_round(600)
+    remapped = primary.reserving.assigned
+    assert (
+        gone not in remapped["x"] and sum(remapped["x"].values()) == 16 and sum(remapped["y"].values()) == 8
+    )
+    primary.record.do(["evacuate", "z1", True])
+    primary.run_round(900)
+    assert sum(primary.reserving.assigned["x"].values()) == 8 and primary.reserving.assigned["y"] == {}
+    assert [(no, fields["missing"]) for no, fields in primary.said] == [(420, 8), (420, 8)]
+    primary.record.do(["evacuate", "z1", False])
+    primary.run_round(1_200)
+    assert [no for no, _ in primary.said[2:]] == [421, 421]
+
+
+def test_owners_elsewhere_count_and_more_than_the_count_is_not_kept(primary):
+    primary.job("mine", "a", 12)
+    assert primary.run_round(9_000)[0] == {"mine": 12}  # before the window, on any worker with room
+    primary.job("hot", "hot", 40, estimateMs=100_000)
+    primary.run_round(10_000)
+    assert (
+        primary.used() == 28 and sum(attempt.lane == "hot" for attempt in primary.record.legs.values()) == 16
+    )
+
+
+def test_windows_that_follow_each_other_share_workers(primary):
+    reserve(primary.record, "y", count=16, fromMs=T + 20_000, untilMs=T + 30_000, lanes=["b"])
+    primary.job("hot", "hot", 40)
+    assert primary.run_round(0)[0] == {"hot": 16}
+    primary.job("mine", "b", 16, estimateMs=1000)
+    assert primary.run_round(18_400)[0] == {}
+    assert primary.run_round(20_000)[0] == {"mine": 16}
 
 
 def test_owners_of_a_little_keep_that_and_give_back_what_is_more():
-    p = Primary()
-    p.ms = T
-    p.job("other", "b", 32)
-    p.turn(0)
-    reserve(p.record, "y", count=2, lanes=["b"], fromMs=T + 5_000)
-    reserve(p.record, "x", count=14)
-    p.job("mine", "a", 16)
-    for k in range(12):
-        p.turn(11_100 + 200 * k)
-        p.stopped(11_200 + 200 * k)
-    lanes = [g.lane for g in p.record.legs.values()]
+    primary = Primary()
+    primary.ms = T
+    primary.job("other", "b", 32)
+    primary.run_round(0)
+    reserve(primary.record, "y", count=2, lanes=["b"], fromMs=T + 5_000)
+    reserve(primary.record, "x", count=14)
+    primary.job("mine", "a", 16)
+    for n in range(12):
+        primary.run_round(11_100 + 200 * n)
+        primary.end_stopped(11_200 + 200 * n)
+    lanes = [attempt.lane for attempt in primary.record.legs.values()]
     assert (lanes.count("a"), lanes.count("b")) == (14, 18)
 
 
 def test_two_reservations_of_one_lane_are_counted_once_each():
-    p = Primary()
-    p.ms = T
-    reserve(p.record, "x", count=8)
-    reserve(p.record, "y", count=8)
-    p.job("mine", "a", 8)
-    p.job("hot", "hot", 40, estimateMs=900)
-    assert p.turn(10_000)[0] == {"hot": 16, "mine": 8}
-    p.job("more", "a", 9)
-    assert p.turn(10_300)[0] == {"more": 8}
-
-
-def test_owners_work_without_accelerators_takes_nothing_of_what_is_kept(p):
-    p.job("plain", "a", 32, gpus=0)
-    assert p.turn(9_500)[0] == {"plain": 32}
-    p.job("hot", "hot", 40)
-    assert p.turn(10_000)[0] == {"hot": 16}
+    primary = Primary()
+    primary.ms = T
+    reserve(primary.record, "x", count=8)
+    reserve(primary.record, "y", count=8)
+    primary.job("mine", "a", 8)
+    primary.job("hot", "hot", 40, estimateMs=900)
+    assert primary.run_round(10_000)[0] == {"hot": 16, "mine": 8}
+    primary.job("more", "a", 9)
+    assert primary.run_round(10_300)[0] == {"more": 8}
+
+
+def test_owners_work_without_accelerators_takes_nothing_of_what_is_kept(primary):
+    primary.job("plain", "a", 32, gpus=0)
+    assert primary.run_round(9_500)[0] == {"plain": 32}
+    primary.job("hot", "hot", 40)
+    assert primary.run_round(10_000)[0] == {"hot": 16}
--- a/tests/test_round_time.py
+++ b/tests/test_round_time.py
@@ -1,6 +1,7 @@
-"""Rounds of placement over a long backlog. Guards against takeovers that do not end (mandina-lima-large,
-docs/incidents/started-after-done.md): a new primary's first round kept its loop for longer than an election's silence,
-its leases and the store's lead went, and the next machine took the same backlog over."""
+"""Rounds of placement over a long backlog. Guards against takeovers that follow one another without end
+(docs/incidents/started-after-done.md, mandina-lima-large): a new primary's first round blocked its event loop
+for longer than the election timeout, so its leases and the store's leadership were lost, and the next machine
+took over the same backlog."""
 
 from types import SimpleNamespace as Bag
 
@@ -14,7 +15,7 @@
 
 
 class Seam:
-    """A processor on which what is told to take time takes it, and each look at the clock `tick` s."""
+    """A clock that advances by the reported work, scaled by `times`, and by `tick` s on each reading."""
 
     def __init__(self, times=1.0, tick=0.0):
         self.t, self.times, self.tick = 0.0, times, tick
@@ -29,12 +30,12 @@
 
 
 def backlog(*, workers=60, gangs=40, small=40):
-    """A full fleet on which gangs starve, with small work behind them."""
+    """A full fleet on which gangs starve, with small tasks queued behind them."""
     rows = {"q": ROW, "low": ROW | {"urgency": 1}}
     record = made(steps=[step(tasks=workers, room={"cores": 6000})], workers=workers, rows=rows)
     record.do(*[["grant", f"j/0.0/{n}", f"w{n}"] for n in range(workers)])
     for n in range(gangs):
-        # shapes that differ, so that none speaks for the others
+        # different shapes, so that the refusal of one does not skip the others
         steps = [step(tasks=workers // 4, gang=True, room={"cores": 4000 + n})]
         record.do(["job", f"g{n}", *check_job({"lane": "q", "steps": steps})])
     for n in range(small):
@@ -51,31 +52,32 @@
 
 
 def rounds(desk):
-    """Rounds until the backlog was looked through, with a batch after each: (s of each, tasks started)."""
-    took, started = [], []
-    while not took or desk.last_round.cut_short:
+    """Runs rounds until the whole backlog was examined, with a batch after each: (duration of each in s,
+    tasks started)."""
+    durations, started = [], []
+    while not durations or desk.last_round.cut_short:
         before = desk.seam.t
         events = desk.place_all(most=constants.TURN_EVENTS)
-        took.append(desk.seam.t - before)
-        started += [ev[1] for ev in events if ev[0] == "grant"]
+        durations.append(desk.seam.t - before)
+        started += [event[1] for event in events if event[0] == "grant"]
         desk.record.do(*events, ms=desk.clock_ms())
         desk.t += 0.05
-        assert len(took) < 500
-    return took, started
+        assert len(durations) < 500
+    return durations, started
 
 
 def test_a_round_over_a_backlog_of_gangs_keeps_the_loop_for_a_moment_only():
     desk = desk_over(backlog(), times=85.0)
-    took, _ = rounds(desk)
-    assert sum(took) > constants.ELECT_MIN and max(took) < constants.ELECT_MIN / 2, took
-    assert desk.woken == len(took) - 1  # the rest is not waited for
+    durations, _ = rounds(desk)
+    assert sum(durations) > constants.ELECT_MIN and max(durations) < constants.ELECT_MIN / 2, durations
+    assert desk.woken == len(durations) - 1  # the batch loop is woken for the rest
 
 
 def test_what_stands_behind_the_backlog_gets_its_turn():
     desk = desk_over(backlog(), times=20.0)
     _, started = rounds(desk)
     assert {name.split("/")[0] for name in started} == {f"s{n}" for n in range(40)}
-    assert desk.examined == set()  # and the next round looks at all again
+    assert desk.examined == set()  # the next round examines all steps again
 
 
 def test_a_round_that_has_no_time_left_places_one_step_all_the_same():
@@ -106,7 +108,8 @@
 
 
 def test_a_round_says_how_long_it_took():
-    # the next one comes after twice that: beats have two thirds of the loop however long the backlog is
+    # the next round starts after twice that time, so heartbeats get two thirds of the loop, however long the
+    # backlog
     desk = desk_over(backlog(), times=60.0)
     before = desk.seam.t
     desk.place_all(most=constants.TURN_EVENTS)
