--- a/hollowhall/explore/__init__.py
+++ b/hollowhall/explore/__init__.py
@@ -1,5 +1,5 @@
-"""Model checking of the store: the real replica code, stepped one event at a time.
+"""Model checker of the store: runs the real replica code, one event at a time.
 
-A scheduler picks each next event (delivery, loss or duplication of a message, a sync, a timeout,
-a crash, a restart, an operator's order or read, a membership step) and named invariants are
-checked after each. Searches are breadth-first to a stated depth, or random walks with a seed."""
+A search picks each next event (delivery, loss or duplication of a message, a disk sync, a timeout,
+a crash, a restart, an operator's configuration change or read, a membership change) and checks the
+named invariants after each event. Searches are breadth-first to a given depth, or seeded random walks."""
--- a/hollowhall/explore/breadth.py
+++ b/hollowhall/explore/breadth.py
@@ -1,23 +1,23 @@
-"""Breadth-first search: every order of events up to a depth, states met twice left out."""
+"""Breadth-first search: every sequence of events up to a depth, without expanding a state twice."""
 
 import time
 from collections import deque
 
 from ..almanac.vote import LEADER
-from .search import Found, Report, elected, play
+from .search import Counterexample, Report, first_election, play
 
 
-def choices(cluster, setting, used):
-    """The events that a breadth-first search tries from here."""
+def possible_events(cluster, setting, used):
+    """The events that the search tries next. `used(name)` counts the events of a name on the path so far."""
     out = [("deliver", n) for n in cluster.network.messages]
     for replica in cluster.running():
         address = replica.params.addr
         if replica.rank == LEADER:
             for peer in replica.peers:
-                task = cluster.feeding.get((address, peer))
+                task = cluster.append_tasks.get((address, peer))
                 if task is None or task.done():
                     out.append(("append", address, peer))
-            out += order_choices(cluster, setting, address)
+            out += possible_orders(cluster, setting, address)
             if not any(x.kind == "read" and x.returned is None for x in cluster.operations):
                 out.append(("read", address))
         if used("timeout") < setting.timeouts:
@@ -28,8 +28,8 @@
     return out
 
 
-def order_choices(cluster, setting, address):
-    """A new order on what is current here, or one that had no answer sent again."""
+def possible_orders(cluster, setting, address):
+    """A new order based on the replica's current configuration, and retries of the unconfirmed ones."""
     current = cluster.replicas[address].record.charter.get("chosen", 0)
     out = [("order", address, x.number, x.base, x.author) for x in unconfirmed(cluster)]
     if len(cluster.orders) < setting.orders:
@@ -39,40 +39,46 @@
 
 
 def unconfirmed(cluster):
+    """The orders sent so far that no reply has confirmed."""
     confirmed = {x.order for x in cluster.operations if x.confirmed}
     return [x for x in cluster.orders if x not in confirmed]
 
 
-def breadth_first(setting, *, depth, most_states=10**9, seconds=10**9):
-    """Every order of events up to `depth` after the first election, states met twice left out."""
-    begin, report = elected(setting), Report()
+def breadth_first(setting, *, depth, max_states=10**9, seconds=10**9):
+    """Plays every sequence of up to `depth` events after the first election; returns a Report.
+
+    A state that was reached before is not expanded again. The search stops early at the first
+    violation, after `max_states` states or after `seconds` of wall-clock time."""
+    initial_events, report = first_election(setting), Report()
     started, seen = time.monotonic(), set()
     queue = deque([()])
     while queue:
-        if report.states >= most_states or time.monotonic() - started > seconds:
+        if report.states >= max_states or time.monotonic() - started > seconds:
             break
         path = queue.popleft()
-        cluster, violation = play(setting, begin + list(path))
+        cluster, violation = play(setting, initial_events + list(path))
         report.states += 1
         report.events += len(path)
         report.depth = max(report.depth, len(path))
         if violation is not None:
-            report.found = Found(violation=violation, events=begin + list(path))
+            report.counterexample = Counterexample(violation=violation, events=initial_events + list(path))
             cluster.close()
             break
         if len(path) < depth:
             names = [event[0] for event in path]
-            for event in choices(cluster, setting, names.count):
+            for event in possible_events(cluster, setting, names.count):
                 queue.append((*path, event))
-            queue = fresh(queue, seen, cluster)
+            queue = drop_if_seen(queue, seen, cluster)
         cluster.close()
-    report.complete = not queue and report.found is None
+    report.complete = not queue and report.counterexample is None
     report.seconds = time.monotonic() - started
     return report
 
 
-def fresh(queue, seen, cluster):
-    """Drops what was just added where this state was met before."""
+def drop_if_seen(queue, seen, cluster):
+    """Returns the queue without the successors of the current state if that state was expanded before.
+
+    They are the paths at the queue's end that share one prefix."""
     fingerprint = cluster.fingerprint()
     if fingerprint not in seen:
         seen.add(fingerprint)
--- a/hollowhall/explore/cluster.py
+++ b/hollowhall/explore/cluster.py
@@ -1,7 +1,7 @@
-"""A few replicas, their disks and the messages between them, moved on by events.
+"""A cluster of replicas with their disks and the messages between them, driven by events.
 
-An event is a tuple of a name and its arguments, so that a run can be written down, shrunk and
-played again: the same events from the same start give the same run."""
+An event is a tuple of a name and its arguments, so that a run can be saved, shrunk and replayed:
+the same events from the same initial state give the same run."""
 
 from collections import Counter
 
@@ -12,12 +12,12 @@
 from ..base.problems import Raised
 from .events import EventsMixin
 from .network import Network
-from .replica import ModelDisk, ModelReplica, ModelSeam
+from .replica import ModelDisk, ModelReplica, ModelRuntime
 from .stepped_loop import SteppedLoop
 
-RING_BYTES = 1 << 14  # bytes; a log of some dozens of entries
-RING_FILES = 4
-LEVEL = 2  # format level; the first that knows operators' own numbers
+LOG_SEGMENT_BYTES = 1 << 14  # bytes; room for some dozens of entries
+LOG_SEGMENTS = 4
+FORMAT_LEVEL = 2  # the first level at which operators number configurations themselves
 
 
 def address_of(member):
@@ -25,39 +25,48 @@
 
 
 class Cluster(EventsMixin):
-    """`members` founders hold one list of members on their disks; `spares` begin with empty
-    disks outside it. `build` is the class of the replicas."""
+    """The state of a run.
 
-    def __init__(self, *, members=3, spares=0, build=ModelReplica, seed=0, snap_every=1000, clone=None):
+    `members` replicas start with the same initial membership on their disks; `spares` further
+    replicas start outside it with empty disks. `replica_class` is the class of the replicas,
+    `initial_disks` the disks to copy instead of bootstrapping new ones.
+
+    Beside the replicas it records what the invariants compare over the whole run: the leader of
+    each term, the committed entry of each index, the state at each applied index, and the
+    operators' operations."""
+
+    def __init__(
+        self, *, members=3, spares=0, replica_class=ModelReplica, seed=0, snap_every=1000, initial_disks=None
+    ):
         self.loop, self.network = SteppedLoop(), Network()
-        self.members, self.spares, self.build, self.seed = members, spares, build, seed
+        self.members, self.spares, self.replica_class, self.seed = members, spares, replica_class, seed
         self.snap_every = snap_every
         self.addresses = [address_of(n) for n in range(members + spares)]
         self.disks = {a: ModelDisk() for a in self.addresses}
-        self.replicas, self.lives, self.counting = {}, Counter(), set()
-        self.feeding, self.step = {}, 0
+        self.replicas, self.incarnations, self.stopped_voters = {}, Counter(), set()
+        self.append_tasks, self.event_number = {}, 0
         self.operations, self.orders, self.history_changed = [], [], False
-        self.leaders, self.elected, self.committed, self.checked = {}, set(), {}, {}
-        self.digests, self.digested, self.durable = {}, {}, {}
-        self.counted_orphans = []
-        self.newest_list = {"v": -1, "voters": self.addresses[:members]}
-        self.counts = Counter()
-        if clone is None:
-            self._found()
+        self.leader_of_term, self.checked_leaders, self.committed, self.checked_to = {}, set(), {}, {}
+        self.state_at_index, self.last_digested, self.durable = {}, {}, {}
+        self.invalid_votes = []
+        self.newest_membership = {"v": -1, "voters": self.addresses[:members]}
+        self.event_counts = Counter()
+        if initial_disks is None:
+            self._bootstrap_disks()
         else:
-            for address, disk in clone.items():
+            for address, disk in initial_disks.items():
                 self.disks[address].copy_from(disk)
         for address in self.addresses:
             self.start(address)
 
-    def _found(self):
-        """Writes the log of a store that was founded and rose to LEVEL on each founder's disk."""
+    def _bootstrap_disks(self):
+        """Writes to each initial member's disk the log of a bootstrapped store at FORMAT_LEVEL."""
         voters = self.addresses[: self.members]
         first = {"v": 1, "voters": voters, "learner": "", "out": "", "past": []}
-        bodies = [["noop"], ["members", first]] + [["level", n + 1] for n in range(LEVEL)]
+        bodies = [["noop"], ["members", first]] + [["level", n + 1] for n in range(FORMAT_LEVEL)]
         entries = [[n + 1, 1, pack(body)] for n, body in enumerate(bodies)]
         for address in voters:
-            ring = Ring(disk=self.disks[address], files=RING_FILES, size=RING_BYTES)
+            ring = Ring(disk=self.disks[address], files=LOG_SEGMENTS, size=LOG_SEGMENT_BYTES)
             ring.load()
             hard = {"t": 1, "v": "", "m": True, "f": None}
             self.loop.complete(ring.put(hard=hard, es=entries))
@@ -73,8 +82,8 @@
         return max(leaders, key=lambda r: r.term, default=None)
 
     def start(self, address):
-        self.lives[address] += 1
-        seed = f"{self.seed} {address} {self.lives[address]}"
+        self.incarnations[address] += 1
+        seed = f"{self.seed} {address} {self.incarnations[address]}"
         params = Params(
             id=f"r{self.addresses.index(address)}",
             addr=address,
@@ -82,12 +91,14 @@
             data="/d",
             seeds=self.addresses[: min(3, self.members)],
             auto_members=True,
-            ring_files=RING_FILES,
-            ring_bytes=RING_BYTES,
+            ring_files=LOG_SEGMENTS,
+            ring_bytes=LOG_SEGMENT_BYTES,
             snap_every=self.snap_every,
         )
-        seam = ModelSeam(loop=self.loop, disk=self.disks[address], seed=seed)
-        replica = self.build(params=params, seam=seam, network=self.network, life=self.lives[address])
+        seam = ModelRuntime(loop=self.loop, disk=self.disks[address], seed=seed)
+        replica = self.replica_class(
+            params=params, seam=seam, network=self.network, incarnation=self.incarnations[address]
+        )
         self.durable.pop(address, None)
         self.replicas[address] = replica
         self.loop.complete(self._boot(replica))
@@ -98,69 +109,93 @@
     def stop(self, address):
         replica = self.replicas.pop(address)
         replica.stop()
-        self.network.drop_unanswerable(address, replica.life)
-        self.feeding = {k: v for k, v in self.feeding.items() if k[0] != address}
+        self.network.drop_replies_to(address, replica.incarnation)
+        self.append_tasks = {k: v for k, v in self.append_tasks.items() if k[0] != address}
         self.loop.settle()
 
-    def _note_durable(self, address):
-        """What a stopped replica still holds, read from its disk."""
-        ring = Ring(disk=self.disks[address], files=RING_FILES, size=RING_BYTES)
+    def _note_durable_state(self, address):
+        """Reads from its disk which entries a stopped replica holds and whether it may vote."""
+        ring = Ring(disk=self.disks[address], files=LOG_SEGMENTS, size=LOG_SEGMENT_BYTES)
         try:
             hard, snapshot, entries = ring.load()
         except Raised as error:
             self.loop.errors.append(f"{address}: {error}")
             return
-        self.counting.discard(address)
+        self.stopped_voters.discard(address)
         if hard.get("m") or hard.get("f") == 0:
-            self.counting.add(address)
-        behind = snapshot["i"] if snapshot else 0
-        self.durable[address] = (behind, {index: term for index, term, _ in entries})
+            self.stopped_voters.add(address)
+        snapshot_index = snapshot["i"] if snapshot else 0
+        self.durable[address] = (snapshot_index, {index: term for index, term, _ in entries})
 
-    # --- what invariants ask
+    # --- queries of the invariants
 
-    def present_voters(self):
-        """The voters of the newest list of members that any replica ever held as committed."""
+    def current_voters(self):
+        """The voters of the newest membership that any replica has known as committed."""
         for replica in self.running():
             committed = replica.conf_at(replica.commit)
-            if replica.commit >= 2 and committed["v"] > self.newest_list["v"]:
-                self.newest_list = committed
-        return self.newest_list["voters"]
+            if replica.commit >= 2 and committed["v"] > self.newest_membership["v"]:
+                self.newest_membership = committed
+        return self.newest_membership["voters"]
 
     def may_vote(self, address):
+        """Whether a replica may vote, running or not; for a stopped one its disk decides."""
         if address in self.replicas:
             return self.replicas[address].may_vote()
-        return address in self.counting
+        return address in self.stopped_voters
 
     def holds(self, address, *, index, term):
+        """Whether a replica, running or not, holds the entry in its log or in a snapshot."""
         if address in self.replicas:
             replica = self.replicas[address]
             return replica.base_i >= index or replica.term_at(index) == term
-        behind, entries = self.durable.get(address, (0, {}))
-        return behind >= index or entries.get(index) == term
+        snapshot_index, entries = self.durable.get(address, (0, {}))
+        return snapshot_index >= index or entries.get(index) == term
 
-    # --- for searches
+    # --- queries of the searches
 
     def newest_number(self):
-        """The largest number that any running replica has taken."""
+        """The largest configuration number that any running replica has accepted."""
         return max((r.record.charter.get("chosen", 0) for r in self.running()), default=0)
 
     def fingerprint(self):
-        """A digest of what the search takes for the state of the cluster."""
+        """A hash of the state; a search treats states with equal hashes as one."""
         parts = []
         for address in self.addresses:
-            r = self.replicas.get(address)
-            if r is None:
+            replica = self.replicas.get(address)
+            if replica is None:
                 parts.append((address, self.durable.get(address)))
                 continue
-            log = tuple((index, term) for index, term, _ in r.book)
+            log = tuple((index, term) for index, term, _ in replica.book)
             parts.append(
-                (address, r.rank, r.term, r.vote, r.leader, r.base_i, log, r.commit, r.applied, r.synced)
-                + (r.conf["v"], r.blank, r.floor, tuple(sorted(r.match.items())), len(r.reads), len(r.waits))
-                + (tuple(sorted(r.acked_n.items())), len(r.ballots), self.disks[address].held)
+                (
+                    address,
+                    replica.rank,
+                    replica.term,
+                    replica.vote,
+                    replica.leader,
+                    replica.base_i,
+                    log,
+                    replica.commit,
+                    replica.applied,
+                    replica.synced,
+                )
+                + (
+                    replica.conf["v"],
+                    replica.blank,
+                    replica.floor,
+                    tuple(sorted(replica.match.items())),
+                    len(replica.reads),
+                    len(replica.waits),
+                )
+                + (
+                    tuple(sorted(replica.acked_n.items())),
+                    len(replica.ballots),
+                    self.disks[address].syncs_held,
+                )
             )
         messages = sorted(repr(m.key()) for m in self.network.messages.values())
-        told = [(x.kind, x.order, x.returned is None, x.confirmed) for x in self.operations]
-        return hash((repr(parts), tuple(messages), repr(told), round(self.loop.now, 3)))
+        operations = [(x.kind, x.order, x.returned is None, x.confirmed) for x in self.operations]
+        return hash((repr(parts), tuple(messages), repr(operations), round(self.loop.now, 3)))
 
     def close(self):
         for address in list(self.replicas):
@@ -168,8 +203,8 @@
         self.loop.close()
 
 
-def founded_disks(*, members, spares=0):
-    """Disks of a founded store, to begin many runs from."""
+def bootstrapped_disks(*, members, spares=0):
+    """Disks of a bootstrapped store, from which many runs can start."""
     cluster = Cluster(members=members, spares=spares)
     disks = cluster.disks
     cluster.close()
--- a/hollowhall/explore/events.py
+++ b/hollowhall/explore/events.py
@@ -1,115 +1,127 @@
-"""What may happen to a cluster: one method an event, each named do_ and the event's name."""
+"""The events of a cluster: a method do_<name> for each event name."""
 
 from ..almanac.vote import LEADER
 from ..base import constants
 from ..base.circuit import unpack
 from ..base.problems import BadInput, StaleBase
-from .network import LOST, outcome_of
+from .network import NO_REPLY, result_of
 from .orders import Operation, Order
 
-ELECTION = constants.ELECT_MAX + 0.05  # s; one timeout: silence after which a follower campaigns
-SILENCE = constants.GONE + 0.1  # s; after which a silent member may be taken out
+ELECTION_WAIT_S = constants.ELECT_MAX + 0.05  # time without a leader after which a follower campaigns
+REMOVAL_WAIT_S = constants.GONE + 0.1  # silence after which a member may be removed
 
 
 class EventsMixin:
+    """Applies events to the cluster. Arguments of an event are the arguments of its method."""
+
     def apply(self, event):
-        """Plays one event; one whose subject is gone does nothing."""
-        self.step += 1
+        """Plays one event; does nothing if its message or replica no longer exists."""
+        self.event_number += 1
         name, *arguments = event
-        self.counts[name] += 1
+        self.event_counts[name] += 1
         getattr(self, "do_" + name)(*arguments)
         self.loop.settle()
 
     def do_timeout(self, address):
-        self.loop.advance(ELECTION)
+        """An election timeout passes for everybody, and this replica acts on it."""
+        self.loop.advance(ELECTION_WAIT_S)
         if address in self.replicas:
             self.replicas[address].time_out()
 
     def do_silence(self):
-        self.loop.advance(SILENCE)
+        """Time passes until silent members may be removed."""
+        self.loop.advance(REMOVAL_WAIT_S)
 
     def do_append(self, address, peer):
-        """The leader sends its next append, or a piece of a snapshot, to a peer."""
+        """The leader sends its next append request, or a chunk of a snapshot, to a peer."""
         replica = self.replicas.get(address)
-        task = self.feeding.get((address, peer))
+        task = self.append_tasks.get((address, peer))
         if replica is None or replica.rank != LEADER or peer not in replica.peers:
             return
         if task is None or task.done():
-            self.feeding[address, peer] = replica.begin(replica.feed_once(peer))
+            self.append_tasks[address, peer] = replica.start_task(replica.feed_once(peer))
 
-    def do_deliver(self, number, again=False):
-        """A message arrives; `again`: and stays in flight, so that it can arrive once more."""
+    def do_deliver(self, number, keep_in_flight=False):
+        """Delivers a message; with `keep_in_flight` it is a duplicate, and the message can arrive again."""
         if number not in self.network.messages:
             return
         message = self.network.messages[number]
-        if not again:
-            self.network.take(number)
+        if not keep_in_flight:
+            self.network.remove(number)
         if message.is_reply:
-            if not again and self.lives[message.target] == message.life and message.target in self.replicas:
-                message.resume(outcome_of(message))
+            if (
+                not keep_in_flight
+                and self.incarnations[message.target] == message.incarnation
+                and message.target in self.replicas
+            ):
+                message.callback(result_of(message))
             return
         replica = self.replicas.get(message.target)
         if replica is None:
             self._lose(message)
             return
-        self._serve(replica, message, answered=not again)
+        self._serve(replica, message, reply_wanted=not keep_in_flight)
 
-    def _serve(self, replica, message, answered):
+    def _serve(self, replica, message, reply_wanted):
         def reply(outcome):
-            self._note_orphan(replica, message, outcome)
-            if answered and self.lives[message.source] == message.life:
+            self._note_invalid_vote(replica, message, outcome)
+            if reply_wanted and self.incarnations[message.source] == message.incarnation:
                 self.network.reply(message, outcome)
 
         replica.serve(
             op=message.operation, request=unpack(message.payload), caller=message.source, callback=reply
         )
 
-    def _note_orphan(self, replica, message, outcome):
-        """A vote of a replica whose disk came back empty, before it has learnt what it may do."""
+    def _note_invalid_vote(self, replica, message, outcome):
+        """Records a vote of an empty replica, unless no member has ever known its address (floor 0)."""
         if message.operation == "vote" and outcome.ok and outcome.value["yes"]:
             if replica.blank and replica.floor != 0:
-                self.counted_orphans.append(f"{replica.params.addr} votes in term {outcome.value['t']}")
+                self.invalid_votes.append(f"{replica.params.addr} votes in term {outcome.value['t']}")
 
     def do_lose(self, number):
+        """Loses a message."""
         if number in self.network.messages:
-            self._lose(self.network.take(number))
+            self._lose(self.network.remove(number))
 
     def _lose(self, message):
-        """The one that asked learns that it has no answer."""
-        asker = message.target if message.is_reply else message.source
-        if asker in self.replicas and self.lives[asker] == message.life:
-            message.resume(LOST)
+        """Tells the requesting replica, if it still runs, that no reply will come."""
+        requester = message.target if message.is_reply else message.source
+        if requester in self.replicas and self.incarnations[requester] == message.incarnation:
+            message.callback(NO_REPLY)
 
     def do_hold(self, address):
-        """Syncs of this disk wait for events from here on."""
-        self.disks[address].held = True
+        """From here on each sync of this disk waits for a "sync" event."""
+        self.disks[address].syncs_held = True
 
     def do_sync(self, address):
-        if self.disks[address].waiting:
-            self.disks[address].release()
+        """Completes the oldest waiting sync of a disk."""
+        if self.disks[address].waiting_syncs:
+            self.disks[address].complete_sync()
 
-    def do_power(self, address, wrote, renamed):
+    def do_power(self, address, keep_writes, keep_renames):
+        """The machine loses power: unsynced writes and renames are kept or lost as given."""
         if address in self.replicas:
             self.stop(address)
-            self.disks[address].lose_power(wrote=wrote, renamed=renamed)
-            self.disks[address].held = False
-            self._note_durable(address)
+            self.disks[address].lose_power(keep_writes=keep_writes, keep_renames=keep_renames)
+            self.disks[address].syncs_held = False
+            self._note_durable_state(address)
 
     def do_kill(self, address):
+        """The process is killed; the page cache of its machine survives."""
         if address in self.replicas:
             self.stop(address)
             self.disks[address].end_of_process()
-            self.disks[address].held = False
-            self._note_durable(address)
+            self.disks[address].syncs_held = False
+            self._note_durable_state(address)
 
     def do_wipe(self, address):
-        """The replica ends and its disk is lost."""
+        """The replica stops and its disk is replaced by an empty one."""
         if address in self.replicas:
             self.stop(address)
         self.disks[address].lose()
-        self.disks[address].waiting, self.disks[address].held = [], False
-        self.counting.discard(address)
-        self.counts["lost disks"] += 1
+        self.disks[address].waiting_syncs, self.disks[address].syncs_held = [], False
+        self.stopped_voters.discard(address)
+        self.event_counts["lost disks"] += 1
         self.durable[address] = (0, {})
 
     def do_restart(self, address):
@@ -117,13 +129,13 @@
             self.start(address)
 
     def do_steer(self, address):
-        """A leader's look at what is to be done about the members."""
+        """The leader proposes the next step of a membership change, if there is one."""
         replica = self.replicas.get(address)
         if replica is not None and replica.settled():
             replica.steer_once()
 
     def do_knock(self, address):
-        """A replica outside the list asks the leader to be let in."""
+        """A replica that is no member asks the leader to add it."""
         replica, leader = self.replicas.get(address), self.leader()
         if replica is None or leader is None or address in replica.alms:
             return
@@ -131,7 +143,7 @@
             leader.serve(op="join", request={"addr": address}, caller=address, callback=lambda outcome: None)
 
     def do_depart(self, address):
-        """A member that is about to end tells the leader so."""
+        """A member that is about to shut down notifies the leader."""
         leader = self.leader()
         if address in self.replicas and leader is not None and address != leader.params.addr:
             leader.serve(
@@ -139,15 +151,17 @@
             )
 
     def do_snapshot(self, address):
+        """Makes the replica take a snapshot, if it has applied entries since the last one."""
         replica = self.replicas.get(address)
         if replica is not None and replica.applied > replica.snap_i:
             replica.snap_ev.set()
 
     def do_order(self, address, number, base, author):
+        """An operator sends a configuration change; an equal one sent before is retried."""
         order = Order(number=number, base=base, author=author)
         if order not in self.orders:
             self.orders.append(order)
-        operation = Operation(kind="order", invoked=self.step, order=order)
+        operation = Operation(kind="order", invoked=self.event_number, order=order)
         self.operations.append(operation)
         replica = self.replicas.get(address)
         if replica is not None:
@@ -155,16 +169,17 @@
                 op="edit",
                 request=order.body(),
                 caller="operator",
-                callback=lambda outcome: self._ordered(operation, outcome),
+                callback=lambda outcome: self._order_returned(operation, outcome),
             )
 
-    def _ordered(self, operation, outcome):
-        operation.returned, self.history_changed = self.step, True
+    def _order_returned(self, operation, outcome):
+        operation.returned, self.history_changed = self.event_number, True
         operation.confirmed = outcome.ok
         operation.refused = isinstance(outcome, (StaleBase, BadInput))
 
     def do_read(self, address):
-        operation = Operation(kind="read", invoked=self.step)
+        """An operator reads the current configuration."""
+        operation = Operation(kind="read", invoked=self.event_number)
         self.operations.append(operation)
         replica = self.replicas.get(address)
         if replica is not None:
@@ -172,11 +187,11 @@
                 op="charter_now",
                 request={},
                 caller="operator",
-                callback=lambda outcome: self._read(operation, outcome),
+                callback=lambda outcome: self._read_returned(operation, outcome),
             )
 
-    def _read(self, operation, outcome):
-        operation.returned, self.history_changed = self.step, True
+    def _read_returned(self, operation, outcome):
+        operation.returned, self.history_changed = self.event_number, True
         operation.confirmed = outcome.ok
         if outcome.ok and outcome.value.get("chosen"):
             operation.value = (outcome.value["chosen"], outcome.value["notes"]["author"])
--- a/hollowhall/explore/history.py
+++ b/hollowhall/explore/history.py
@@ -1,25 +1,27 @@
-"""Whether a history of orders and reads is one of a register: the configuration.
+"""Checks that a history of configuration changes (orders) and reads is linearizable.
 
-Numbers of configurations rise and each names the one it builds on, so linearizability comes down
-to the rules below, each of which is exact for such a register. A history is a list of Operation."""
+The configuration is a register: its numbers rise, and each change names the number it is based on,
+so that linearizability reduces to the rules below, each of which is exact for such a register. A
+history is a list of Operation; a rule yields the details of each violation."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, kw_only=True)
 class Violation:
-    """A rule that does not hold, with what shows it."""
+    """A rule or an invariant that does not hold, with the evidence."""
 
     rule: str
     detail: str
 
 
 def number_of(value):
+    """The configuration number of a read's value; 0 if no configuration was set."""
     return value[0] if value else 0
 
 
 def violations(operations):
-    """Every rule that the history breaks."""
+    """All violations of RULES in the history."""
     found = []
     for rule in RULES:
         found += [Violation(rule=rule.__name__, detail=detail) for detail in rule(operations)]
@@ -35,25 +37,28 @@
 
 
 def number_confirmed_once(operations):
-    """Of two different configurations under one number, or on one base, one is confirmed."""
+    """At most one of several different orders with the same number, or the same base, is confirmed."""
     seen = {}
-    for x in confirmed_orders(operations):
-        for key in (("number", x.order.number), ("base", x.order.base)):
-            other = seen.setdefault(key, x.order)
-            if other != x.order:
-                yield f"{other} and {x.order}"
+    for operation in confirmed_orders(operations):
+        for key in (("number", operation.order.number), ("base", operation.order.base)):
+            other = seen.setdefault(key, operation.order)
+            if other != operation.order:
+                yield f"{other} and {operation.order}"
 
 
 def read_holds_confirmed(operations):
-    """A read shows the newest configuration that was confirmed before it began, or a later one."""
+    """A read returns the newest configuration that was confirmed before it was invoked, or a newer one."""
     for read in confirmed_reads(operations):
-        for x in confirmed_orders(operations):
-            if x.returned < read.invoked and x.order.number > number_of(read.value):
-                yield f"read of {read.value} begun at {read.invoked}, {x.order.number} confirmed at {x.returned}"
+        for change in confirmed_orders(operations):
+            if change.returned < read.invoked and change.order.number > number_of(read.value):
+                yield (
+                    f"read of {read.value} begun at {read.invoked}, "
+                    f"{change.order.number} confirmed at {change.returned}"
+                )
 
 
 def reads_never_go_back(operations):
-    """A read that began after another one ended shows no older configuration."""
+    """A read that was invoked after another one returned does not return an older configuration."""
     reads = confirmed_reads(operations)
     for later in reads:
         for earlier in reads:
@@ -62,29 +67,32 @@
 
 
 def read_shows_what_was_sent(operations):
-    """A read shows a configuration that somebody had sent by then, as it was sent."""
+    """A read returns only a configuration that had been sent by then, under its number and author."""
     sent = {}
-    for x in operations:
-        if x.kind == "order":
-            sent.setdefault((x.order.number, x.order.author), x.invoked)
+    for operation in operations:
+        if operation.kind == "order":
+            sent.setdefault((operation.order.number, operation.order.author), operation.invoked)
     for read in confirmed_reads(operations):
         if read.value is not None and sent.get(read.value, read.returned + 1) > read.returned:
             yield f"{read.value} read at {read.returned}"
 
 
 def taken_is_never_refused(operations):
-    """An order that was confirmed and is sent again, no other having been sent since, is taken."""
+    """A retry of a confirmed order is not refused, unless an order based on it or on a newer one was
+    sent before the refusal."""
     for refused in operations:
         if refused.kind != "order" or not refused.refused:
             continue
-        for x in confirmed_orders(operations):
+        for confirmed in confirmed_orders(operations):
             others = [
-                y
-                for y in operations
-                if y.kind == "order" and y.order.base >= x.order.number and y.invoked < refused.returned
+                other
+                for other in operations
+                if other.kind == "order"
+                and other.order.base >= confirmed.order.number
+                and other.invoked < refused.returned
             ]
-            if x.order == refused.order and x.returned < refused.invoked and not others:
-                yield f"{x.order} confirmed at {x.returned}, refused at {refused.returned}"
+            if confirmed.order == refused.order and confirmed.returned < refused.invoked and not others:
+                yield f"{confirmed.order} confirmed at {confirmed.returned}, refused at {refused.returned}"
 
 
 RULES = (
--- a/hollowhall/explore/invariants.py
+++ b/hollowhall/explore/invariants.py
@@ -1,4 +1,4 @@
-"""What must hold after each event. Each takes the cluster and yields what breaks it."""
+"""The invariants that are checked after each event. Each yields the details of its violations."""
 
 import zlib
 
@@ -8,80 +8,81 @@
 
 
 def one_leader_a_term(cluster):
-    """No two replicas ever lead in one term."""
+    """A term has at most one leader."""
     for replica in cluster.running():
         if replica.rank == LEADER:
-            other = cluster.leaders.setdefault(replica.term, (replica.params.addr, replica.life))
-            if other != (replica.params.addr, replica.life):
+            other = cluster.leader_of_term.setdefault(
+                replica.term, (replica.params.addr, replica.incarnation)
+            )
+            if other != (replica.params.addr, replica.incarnation):
                 yield f"term {replica.term}: {other[0]} and {replica.params.addr}"
 
 
 def committed_stays(cluster):
-    """What one replica holds as committed is the same entry wherever an entry of that index is
-    held as committed, at any time."""
+    """All replicas, at all times, know the same entry as committed at an index."""
     for replica in cluster.running():
         address = replica.params.addr
-        start = max(replica.base_i, cluster.checked.get((address, replica.life), 0))
+        start = max(replica.base_i, cluster.checked_to.get((address, replica.incarnation), 0))
         for index, term, body in replica.entries(start + 1):
             if index > replica.commit:
                 break
             entry = (term, zlib.crc32(body))
             if cluster.committed.setdefault(index, entry) != entry:
                 yield f"index {index} at {address}: {entry}, elsewhere {cluster.committed[index]}"
-        cluster.checked[address, replica.life] = replica.commit
+        cluster.checked_to[address, replica.incarnation] = replica.commit
 
 
 def leader_holds_committed(cluster):
-    """A new leader's log holds every entry that was committed before."""
+    """A new leader's log contains every entry that was committed before."""
     for replica in cluster.running():
         key = (replica.term, replica.params.addr)
-        if replica.rank != LEADER or key in cluster.elected:
+        if replica.rank != LEADER or key in cluster.checked_leaders:
             continue
-        cluster.elected.add(key)
+        cluster.checked_leaders.add(key)
         for index, (term, _) in cluster.committed.items():
             if index > replica.base_i and replica.term_at(index) != term:
                 yield f"leader {replica.params.addr} of term {replica.term} lacks index {index}"
 
 
 def state_equal_at_equal_index(cluster):
-    """Replicas that have applied the same entries hold the same state."""
+    """Replicas that have applied entries up to the same index have the same state."""
     for replica in cluster.running():
         index = replica.applied
-        if cluster.digested.get(replica.params.addr) == (replica.life, index):
+        if cluster.last_digested.get(replica.params.addr) == (replica.incarnation, index):
             continue
-        cluster.digested[replica.params.addr] = (replica.life, index)
+        cluster.last_digested[replica.params.addr] = (replica.incarnation, index)
         digest = (replica.record.digest(), sorted(replica.keys.kv.items()), replica.keys.rev)
-        other = cluster.digests.setdefault(index, digest)
+        other = cluster.state_at_index.setdefault(index, digest)
         if other != digest:
             yield f"index {index} at {replica.params.addr}"
 
 
 def unheld_is_no_majority(cluster):
-    """The voters that may vote and lack a committed entry are never a majority of the present
-    members: whoever leads next holds it. Members whose disk came back empty do not vote."""
+    """The voters that may vote and lack the last committed entry are never a majority of the
+    current members, so the next leader has it. Members that restart with an empty disk do not vote."""
     if not cluster.committed:
         return
     index = max(cluster.committed)
     term = cluster.committed[index][0]
-    voters = cluster.present_voters()
+    voters = cluster.current_voters()
     lacking = [a for a in voters if cluster.may_vote(a) and not cluster.holds(a, index=index, term=term)]
     if 2 * len(lacking) > len(voters):
         yield f"index {index} is not at {', '.join(lacking)} of {', '.join(voters)}"
 
 
 def orphan_is_never_counted(cluster):
-    """A leader counts nobody that is outside its list of members, and nobody whose disk came
-    back empty and who has not caught up."""
+    """A leader counts only its membership's voters, and no vote comes from a member that restarted
+    with an empty disk and has not caught up."""
     for replica in cluster.running():
         if replica.rank == LEADER:
             for address in replica.voter_peers:
                 if address not in replica.conf["voters"]:
                     yield f"{replica.params.addr} counts {address}"
-    yield from cluster.counted_orphans
+    yield from cluster.invalid_votes
 
 
 def nothing_crashed(cluster):
-    """No task of a replica ended by an error."""
+    """No task of a replica ended with an exception."""
     yield from cluster.loop.errors
 
 
@@ -96,8 +97,8 @@
 )
 
 
-def broken(cluster):
-    """The first rule that does not hold now, or None."""
+def first_violation(cluster):
+    """The first violation of an invariant or, after a reply to an operator, of a rule; else None."""
     for invariant in INVARIANTS:
         for detail in invariant(cluster):
             return Violation(rule=invariant.__name__, detail=detail)
--- a/hollowhall/explore/network.py
+++ b/hollowhall/explore/network.py
@@ -1,4 +1,4 @@
-"""Messages between replicas, held until the scheduler delivers or loses them."""
+"""Messages between replicas, held until an event delivers or loses them."""
 
 import asyncio
 from collections import Counter
@@ -13,25 +13,25 @@
 
 @dataclass(kw_only=True)
 class Message:
-    """A request or the reply to one. `life` numbers the sender's incarnation of a request."""
+    """A request or a reply. `incarnation` is that of the replica that sent the request."""
 
-    number: tuple  # source, target, operation, whether a reply, how manieth of these
+    number: tuple  # (source, target, operation, is_reply, count of such messages)
     source: str
     target: str
     operation: str
     payload: bytes
-    life: int
-    resume: Any = None  # called with the result in the requesting incarnation
+    incarnation: int
+    callback: Any = None  # called with the result, if the requesting incarnation still runs
     is_reply: bool = False
 
     def key(self):
-        """What makes two messages alike for the search."""
+        """The fields by which a search compares messages."""
         return (self.source, self.target, self.operation, self.payload, self.is_reply)
 
 
 class Network:
-    """All messages in flight, by number. Nothing moves by itself. Numbers count messages of one
-    kind between two replicas, so that they stay the same where other events are left out."""
+    """All messages in flight, by number. Only events deliver or remove them. Messages are counted
+    for each kind and pair of replicas, so that numbers stay the same when a run is shrunk."""
 
     def __init__(self):
         self.messages, self.counts = {}, Counter()
@@ -44,40 +44,40 @@
             number=number, source=source, target=target, operation=operation, is_reply=is_reply, **fields
         )
 
-    def request(self, *, replica, target, operation, body, resume):
+    def request(self, *, replica, target, operation, body, callback):
         self.add(
             source=replica.params.addr,
             target=target,
             operation=operation,
             payload=pack(body),
-            life=replica.life,
-            resume=resume,
+            incarnation=replica.incarnation,
+            callback=callback,
         )
 
-    def take(self, number):
+    def remove(self, number):
         return self.messages.pop(number)
 
     def reply(self, message, outcome):
-        """What the target answered is under way to the one that asked."""
+        """Puts the reply to a request in flight."""
         self.add(
             source=message.target,
             target=message.source,
             operation=message.operation,
             payload=pack(to_wire(outcome)),
-            life=message.life,
-            resume=message.resume,
+            incarnation=message.incarnation,
+            callback=message.callback,
             is_reply=True,
         )
 
-    def drop_unanswerable(self, address, life):
-        """Forgets replies to an incarnation that has ended; its requests may still arrive."""
+    def drop_replies_to(self, address, incarnation):
+        """Removes replies to an incarnation that has ended; its requests may still arrive."""
         for message in list(self.messages.values()):
-            if message.is_reply and message.target == address and message.life == life:
+            if message.is_reply and message.target == address and message.incarnation == incarnation:
                 del self.messages[message.number]
 
 
-class ModelLink:
-    """Stands where a connection to another replica stands."""
+class ModelRpcClient:
+    """Replaces the RPC client of another replica: requests go to the Network."""
 
     up, closed, level, c = True, False, constants.LEVEL, None
 
@@ -86,7 +86,7 @@
 
     def ask(self, *, op, request, callback, wait=0.0):
         self.network.request(
-            replica=self.replica, target=self.address, operation=op, body=request, resume=callback
+            replica=self.replica, target=self.address, operation=op, body=request, callback=callback
         )
 
     async def call(self, *, op, request, wait=0.0):
@@ -101,8 +101,8 @@
         pass
 
 
-def outcome_of(message):
+def result_of(message):
     return from_wire(unpack(message.payload))
 
 
-LOST = Unsure(why="circuit")
+NO_REPLY = Unsure(why="circuit")
--- a/hollowhall/explore/orders.py
+++ b/hollowhall/explore/orders.py
@@ -1,4 +1,4 @@
-"""The operators' side of a run: orders for a configuration, reads of it, and what each was told."""
+"""The operators' side of a run: configuration changes (orders), reads, and their results."""
 
 import hashlib
 from dataclasses import dataclass
@@ -6,21 +6,23 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Order:
-    """A whole configuration under a number that an operator chose, on top of another one."""
+    """A configuration change: a whole configuration, its number chosen by the operator, and the
+    number of the configuration it is based on."""
 
     number: int
     base: int
     author: str
 
-    def mark(self):
-        """Its idempotency key."""
+    def idempotency_key(self):
+        """The same for each retry of an order."""
         return hashlib.sha256(f"{self.base} {self.number} {self.author}".encode()).hexdigest()[:24]
 
     def body(self):
+        """The request that the store receives."""
         return {
             "chosen": self.number,
             "on": self.base,
-            "mark": self.mark(),
+            "mark": self.idempotency_key(),
             "rows": {},
             "kinds": {},
             "notes": {"author": self.author},
@@ -29,7 +31,8 @@
 
 @dataclass(kw_only=True)
 class Operation:
-    """One call of an operator. Times count events. `value` is (number, author) or None."""
+    """One request of an operator. `invoked` and `returned` count events; `value`, the result of a
+    read, is (number, author), or None if no configuration was set."""
 
     kind: str  # "order" or "read"
     invoked: int
--- a/hollowhall/explore/replica.py
+++ b/hollowhall/explore/replica.py
@@ -1,5 +1,5 @@
-"""The store's replica as the daemons run it, with its periodic tasks taken out: what they would
-begin by a timer, the scheduler begins by an event."""
+"""The store's replica without its periodic tasks: what a timer starts in a daemon is started by
+an event here."""
 
 import asyncio
 import random
@@ -8,51 +8,52 @@
 from ..almanac.vote import LEADER
 from ..base import constants
 from ..sim.disk import SimDisk
-from .network import ModelLink
+from .network import ModelRpcClient
 
-BEGUN_BY_THE_REPLICA = {"disk", "snaps", "campaign", "renew", "change", "step out"}
+TASKS_THAT_RUN = {"disk", "snaps", "campaign", "renew", "change", "step out"}
 
 
-class NotRun:
-    """Stands for a periodic task that the scheduler replaces by events."""
+class OmittedTask:
+    """Replaces a periodic task whose work is started by events."""
 
     def cancel(self):
         pass
 
 
 class ModelDisk(SimDisk):
-    """A disk whose syncs end at once, or wait for an event where `held` is set."""
+    """A disk whose syncs complete at once, or wait for an event while `syncs_held` is set."""
 
     def __init__(self):
         super().__init__(rng=random.Random(0))
-        self.held, self.waiting = False, []
+        self.syncs_held, self.waiting_syncs = False, []
 
     async def wait(self):
-        if self.held:
-            self.waiting.append(asyncio.get_running_loop().create_future())
-            await self.waiting[-1]
+        if self.syncs_held:
+            self.waiting_syncs.append(asyncio.get_running_loop().create_future())
+            await self.waiting_syncs[-1]
         else:
             await asyncio.sleep(0)
 
-    def release(self):
-        """One sync ends."""
-        self.waiting.pop(0).set_result(None)
+    def complete_sync(self):
+        """Completes the oldest waiting sync."""
+        self.waiting_syncs.pop(0).set_result(None)
 
-    def lose_power(self, *, wrote, renamed):
-        """What was not synced is kept or lost: bytes of a file, and the name of a new one."""
+    def lose_power(self, *, keep_writes, keep_renames):
+        """Loses unsynced bytes of files unless `keep_writes`, and an unsynced whole-file write unless
+        `keep_renames`."""
         for file in self.files.values():
-            if wrote:
+            if keep_writes:
                 file.settle()
             file.pending = None
-        if renamed and self.half is not None:
+        if keep_renames and self.half is not None:
             self.wholes[self.half[0]] = self.half[1]
-        self.half, self.waiting = None, []
+        self.half, self.waiting_syncs = None, []
 
     def end_of_process(self):
-        """The process ends; what it wrote stays in the page cache of the machine."""
+        """The process ends; its writes survive in the machine's page cache."""
         for file in self.files.values():
             file.settle()
-        self.half, self.waiting = None, []
+        self.half, self.waiting_syncs = None, []
 
     def copy_from(self, other):
         self.files, self.wholes, self.half = {}, dict(other.wholes), None
@@ -60,8 +61,8 @@
             self.file(name=name, size=file.size).safe[:] = file.safe
 
 
-class ModelSeam:
-    """Time, randomness and disk of one replica."""
+class ModelRuntime:
+    """Clock, random numbers, disk and event log of one replica."""
 
     def __init__(self, *, loop, disk, seed):
         self.loop, self.disk, self.rng, self.events = loop, disk, random.Random(seed), []
@@ -80,27 +81,27 @@
 
 
 class ModelReplica(Almanac):
-    """One incarnation of a replica; `life` numbers it."""
+    """A replica from one start to the next; `incarnation` counts its starts."""
 
-    def __init__(self, *, params, seam, network, life):
-        self.network, self.life, self.tasks = network, life, []
+    def __init__(self, *, params, seam, network, incarnation):
+        self.network, self.incarnation, self.tasks = network, incarnation, []
         super().__init__(params=params, seam=seam)
 
     def link(self, *, addr):
         if addr not in self.links:
-            self.links[addr] = ModelLink(replica=self, network=self.network, address=addr)
+            self.links[addr] = ModelRpcClient(replica=self, network=self.network, address=addr)
         return self.links[addr]
 
     def run_task(self, *, co, name=""):
-        if name not in BEGUN_BY_THE_REPLICA:
+        if name not in TASKS_THAT_RUN:
             co.close()
-            return NotRun()
+            return OmittedTask()
         task = self.seam.loop.create_task(co)
         self.tasks.append(task)
         return task
 
     def boot(self):
-        """What a start does before the periodic tasks: read the disk, open each part."""
+        """Reads the disk and opens each part, as a start does before the periodic tasks."""
         self.ended = asyncio.Event()
         self.open_store()
         self.open_conf()
@@ -120,19 +121,19 @@
         for task in self.tasks:
             task.cancel()
 
-    # --- what the periodic tasks would begin
+    # --- work of the periodic tasks
 
     def time_out(self):
-        """What the watchdog does once this replica has waited for too long."""
+        """What the leader check does after an election timeout: step down, recover, or campaign."""
         if self.rank == LEADER:
             if self.quorum_age() > constants.ELECT_MAX:
                 self.become(role="follower", why="quorum not heard")
         elif self.blank:
-            self.begin(self.unblank())
+            self.start_task(self.unblank())
         else:
-            self.begin(self.campaign())
+            self.start_task(self.campaign())
 
-    def begin(self, coroutine):
+    def start_task(self, coroutine):
         task = self.seam.loop.create_task(coroutine)
         self.tasks.append(task)
         return task
--- a/hollowhall/explore/search.py
+++ b/hollowhall/explore/search.py
@@ -1,48 +1,49 @@
-"""What searches over a cluster's events share: settings, reports, playing a run and making one
-shorter. A run is the list of its events; the same list gives the same run."""
+"""Shared by all searches: settings, reports, and playing and shrinking a run. A run is the list of
+its events; the same list gives the same run."""
 
 from dataclasses import dataclass, field
 
 from ..base.problems import Raised
-from .cluster import Cluster, founded_disks
+from .cluster import Cluster, bootstrapped_disks
 from .history import Violation
-from .invariants import broken
+from .invariants import first_violation
 from .replica import ModelReplica
 
-FIRST_ELECTION = 12  # events; enough to elect a first leader and tell all of it
+FIRST_ELECTION_ROUNDS = 12  # enough to elect a leader and for all replicas to learn of it
 
 
 @dataclass(frozen=True, kw_only=True)
 class Setting:
-    """What a search is about: sizes, and the class of the replicas."""
+    """The parameters of a search: sizes, fault limits, and the class of the replicas."""
 
     members: int = 3
     spares: int = 0
-    build: type = ModelReplica
+    replica_class: type = ModelReplica
     snap_every: int = 1000
-    orders: int = 2  # orders that operators may begin in a breadth-first search
-    crashes: int = 1  # ends of processes, losses of power and of disks
-    timeouts: int = 2
-    lost_disks: int = 1  # disks lost in a walk, in all
+    orders: int = 2  # new orders in a breadth-first search
+    crashes: int = 1  # power losses in a breadth-first search
+    timeouts: int = 2  # election timeouts in a breadth-first search
+    lost_disks: int = 1  # total in a random walk
     disks: dict = field(default_factory=dict, compare=False)
 
     def cluster(self, seed=0):
+        """A new cluster. Bootstraps disks once and copies them for each cluster."""
         disks = self.disks
         if not disks:
-            disks.update(founded_disks(members=self.members, spares=self.spares))
+            disks.update(bootstrapped_disks(members=self.members, spares=self.spares))
         return Cluster(
             members=self.members,
             spares=self.spares,
-            build=self.build,
+            replica_class=self.replica_class,
             seed=seed,
             snap_every=self.snap_every,
-            clone=disks,
+            initial_disks=disks,
         )
 
 
 @dataclass(kw_only=True)
-class Found:
-    """A run that breaks a rule."""
+class Counterexample:
+    """A run that ends in a violation."""
 
     violation: Violation
     events: list
@@ -50,38 +51,38 @@
 
 @dataclass(kw_only=True)
 class Report:
-    """What a search did. Times in seconds of the machine that ran it."""
+    """What a search did. `seconds` is wall-clock time; `complete` tells that it tried every path."""
 
     states: int = 0
     events: int = 0
     depth: int = 0
     seconds: float = 0.0
     complete: bool = False
-    found: Found | None = None
+    counterexample: Counterexample | None = None
 
 
 def play(setting, events, seed=0):
-    """(the cluster, the violation or None) after a run's events, stopped at the first violation."""
+    """Plays events up to the first violation; returns (cluster, violation or None)."""
     cluster = setting.cluster(seed)
     for number, event in enumerate(events):
-        violation = step(cluster, event)
+        violation = play_event(cluster, event)
         if violation is not None:
-            cluster.broken_at = number
+            cluster.violation_index = number
             return cluster, violation
     return cluster, None
 
 
-def step(cluster, event):
-    """Plays one event; the violation that it shows, or None."""
+def play_event(cluster, event):
+    """Plays one event; returns the violation after it, or None."""
     try:
         cluster.apply(event)
     except Raised as error:
         return Violation(rule="nothing_crashed", detail=repr(error))
-    return broken(cluster)
+    return first_violation(cluster)
 
 
-def pump(cluster, rounds=FIRST_ELECTION, events=None):
-    """Delivers everything and lets the leader tell its peers, for some rounds."""
+def exchange_messages(cluster, rounds=FIRST_ELECTION_ROUNDS, events=None):
+    """Each round delivers all messages and sends appends to all peers; returns the events."""
     events = [] if events is None else events
     for _ in range(rounds):
         for number in list(cluster.network.messages):
@@ -95,28 +96,29 @@
     return events
 
 
-def elected(setting, seed=0):
-    """The events that bring a first leader, whom all follow."""
+def first_election(setting, seed=0):
+    """The events that elect the first leader, which all replicas then follow."""
     cluster, events = setting.cluster(seed), [("timeout", "10.0.0.1:7000")]
     cluster.apply(events[0])
-    pump(cluster, events=events)
+    exchange_messages(cluster, events=events)
     cluster.close()
     return events
 
 
-def shrink(setting, found, *, seed=0, tries=400):
-    """A shorter run that breaks the same rule: pieces are left out, ever smaller ones."""
-    events, size = list(found.events), max(1, len(found.events) // 2)
+def shrink(setting, counterexample, *, seed=0, tries=400):
+    """A shorter run that breaks the same rule, found by leaving out ever smaller parts; plays at
+    most `tries` runs."""
+    events, size = list(counterexample.events), max(1, len(counterexample.events) // 2)
     while size and tries > 0:
-        at = 0
-        while at < len(events) and tries > 0:
+        start = 0
+        while start < len(events) and tries > 0:
             tries -= 1
-            shorter = events[:at] + events[at + size :]
+            shorter = events[:start] + events[start + size :]
             cluster, violation = play(setting, shorter, seed)
-            if violation is not None and violation.rule == found.violation.rule:
-                events = shorter[: cluster.broken_at + 1]
+            if violation is not None and violation.rule == counterexample.violation.rule:
+                events = shorter[: cluster.violation_index + 1]
             else:
-                at += size
+                start += size
             cluster.close()
         size //= 2
-    return Found(violation=found.violation, events=events)
+    return Counterexample(violation=counterexample.violation, events=events)
--- a/hollowhall/explore/stepped_loop.py
+++ b/hollowhall/explore/stepped_loop.py
@@ -1,11 +1,11 @@
-"""An event loop whose time moves only when it is told to."""
+"""An event loop in virtual time, which advances only on request."""
 
 import asyncio
 from asyncio import events
 
 
 class NoSelector:
-    """Stands where a selector stands; nothing outside the process is waited for."""
+    """A selector that never waits: the loop has no I/O."""
 
     def select(self, timeout):
         return []
@@ -49,13 +49,13 @@
             events._set_running_loop(None)
 
     def advance(self, seconds):
-        """Moves time on and runs the timers that are due."""
+        """Advances virtual time and runs the timers that are due."""
         self.now += seconds
         self.call_soon(lambda: None)
         self.settle()
 
     def complete(self, coroutine):
-        """Runs a coroutine that needs no event from outside; returns its result."""
+        """Runs a coroutine that waits for no later event; returns its result."""
         task = self.create_task(coroutine)
         self.settle()
         return task.result()
--- a/hollowhall/explore/walks.py
+++ b/hollowhall/explore/walks.py
@@ -1,12 +1,12 @@
-"""Random walks: each next event is drawn by a seed from those that mean something now."""
+"""Random walks: a seeded generator draws each next event among the possible ones."""
 
 import random
 import time
 
 from ..almanac.vote import LEADER
-from .search import Found, Report, step
+from .search import Counterexample, Report, play_event
 
-WEIGHTS = {
+EVENT_WEIGHTS = {
     "deliver": 60,
     "append": 25,
     "steer": 6,
@@ -28,18 +28,18 @@
 }
 
 
-def walk_event(cluster, setting, rng):
-    """One random event that means something now."""
-    kinds = list(WEIGHTS)
+def random_event(cluster, setting, rng):
+    """A random event that is possible in the current state."""
+    kinds = list(EVENT_WEIGHTS)
     for _ in range(50):
-        kind = rng.choices(kinds, [WEIGHTS[k] for k in kinds])[0]
-        event = WALK[kind](cluster, setting, rng)
+        kind = rng.choices(kinds, [EVENT_WEIGHTS[k] for k in kinds])[0]
+        event = EVENT_CHOOSERS[kind](cluster, setting, rng)
         if event is not None:
             return event
     return ("silence",)
 
 
-def any_message(name):
+def choose_message(name):
     def choose(cluster, setting, rng):
         numbers = list(cluster.network.messages)
         if not numbers:
@@ -51,7 +51,7 @@
     return choose
 
 
-def any_running(name, *more):
+def choose_running(name, *more):
     def choose(cluster, setting, rng):
         if not cluster.replicas:
             return None
@@ -60,7 +60,7 @@
     return choose
 
 
-def walk_append(cluster, setting, rng):
+def choose_append(cluster, setting, rng):
     leaders = [r for r in cluster.running() if r.rank == LEADER and r.peers]
     if not leaders:
         return None
@@ -68,7 +68,7 @@
     return ("append", leader.params.addr, rng.choice(leader.peers))
 
 
-def at_leader(name):
+def choose_leader(name):
     def choose(cluster, setting, rng):
         leaders = [r.params.addr for r in cluster.running() if r.rank == LEADER]
         return (name, rng.choice(leaders)) if leaders else None
@@ -76,95 +76,95 @@
     return choose
 
 
-def walk_order(cluster, setting, rng):
-    """A new order, one with a number that is in use, or one sent again."""
+def choose_order(cluster, setting, rng):
+    """A retry of a recent order, or a new one, whose number may be in use already."""
     leaders = [r for r in cluster.running() if r.rank == LEADER]
     if not leaders:
         return None
     leader = rng.choice(leaders)
     if cluster.orders and rng.random() < 0.4:
-        x = rng.choice(cluster.orders[-4:])
-        return ("order", leader.params.addr, x.number, x.base, x.author)
+        order = rng.choice(cluster.orders[-4:])
+        return ("order", leader.params.addr, order.number, order.base, order.author)
     base = leader.record.charter.get("chosen", 0)
     number = base + rng.choice((1, 1, 2, 5))
     return ("order", leader.params.addr, number, base, f"op{len(cluster.orders)}")
 
 
 def may_lose(cluster, setting, *, disk):
-    """Whether one more of those that count may go: service needs a majority of them running,
-    and no more disks are lost than the setting allows."""
-    if disk and cluster.counts["lost disks"] >= setting.lost_disks:
+    """Whether one more replica may fail: another one must keep running, and the number of lost
+    disks is limited by the setting."""
+    if disk and cluster.event_counts["lost disks"] >= setting.lost_disks:
         return False
     return len(cluster.replicas) > 1
 
 
-def walk_power(cluster, setting, rng):
+def choose_power(cluster, setting, rng):
     if not may_lose(cluster, setting, disk=False):
         return None
     address = rng.choice(list(cluster.replicas))
     return ("power", address, rng.random() < 0.5, rng.random() < 0.5)
 
 
-def walk_kill(cluster, setting, rng):
+def choose_kill(cluster, setting, rng):
     if not may_lose(cluster, setting, disk=False):
         return None
     return ("kill", rng.choice(list(cluster.replicas)))
 
 
-def walk_wipe(cluster, setting, rng):
+def choose_wipe(cluster, setting, rng):
     if not may_lose(cluster, setting, disk=True):
         return None
     return ("wipe", rng.choice(cluster.addresses))
 
 
-def walk_restart(cluster, setting, rng):
+def choose_restart(cluster, setting, rng):
     down = [a for a in cluster.addresses if a not in cluster.replicas]
     return ("restart", rng.choice(down)) if down else None
 
 
-def walk_sync(cluster, setting, rng):
-    waiting = [a for a in cluster.replicas if cluster.disks[a].waiting]
+def choose_sync(cluster, setting, rng):
+    waiting = [a for a in cluster.replicas if cluster.disks[a].waiting_syncs]
     return ("sync", rng.choice(waiting)) if waiting else None
 
 
-def walk_knock(cluster, setting, rng):
+def choose_knock(cluster, setting, rng):
     outside = [r.params.addr for r in cluster.running() if r.params.addr not in r.alms]
     return ("knock", rng.choice(outside)) if outside else None
 
 
-WALK = {
-    "deliver": any_message("deliver"),
-    "lose": any_message("lose"),
-    "duplicate": any_message("duplicate"),
-    "append": walk_append,
-    "steer": at_leader("steer"),
-    "order": walk_order,
-    "read": any_running("read"),
-    "knock": walk_knock,
-    "timeout": any_running("timeout"),
-    "depart": any_running("depart"),
-    "snapshot": any_running("snapshot"),
-    "restart": walk_restart,
-    "power": walk_power,
-    "kill": walk_kill,
-    "wipe": walk_wipe,
-    "hold": any_running("hold"),
-    "sync": walk_sync,
+EVENT_CHOOSERS = {
+    "deliver": choose_message("deliver"),
+    "lose": choose_message("lose"),
+    "duplicate": choose_message("duplicate"),
+    "append": choose_append,
+    "steer": choose_leader("steer"),
+    "order": choose_order,
+    "read": choose_running("read"),
+    "knock": choose_knock,
+    "timeout": choose_running("timeout"),
+    "depart": choose_running("depart"),
+    "snapshot": choose_running("snapshot"),
+    "restart": choose_restart,
+    "power": choose_power,
+    "kill": choose_kill,
+    "wipe": choose_wipe,
+    "hold": choose_running("hold"),
+    "sync": choose_sync,
     "silence": lambda cluster, setting, rng: ("silence",),
 }
 
 
 def random_walk(setting, *, seed, steps):
-    """One walk; its report has the run where a rule broke."""
+    """One walk; if a rule breaks, its report has the run as counterexample."""
     rng, report, started = random.Random(seed), Report(), time.monotonic()
     cluster, events, states = setting.cluster(seed), [], set()
     for _ in range(steps):
-        event = walk_event(cluster, setting, rng)
+        event = random_event(cluster, setting, rng)
         events.append(event)
-        violation = step(cluster, event)
+        violation = play_event(cluster, event)
         states.add(cluster.fingerprint())
         if violation is not None:
-            report.found = Found(violation=violation, events=events)
+            report.counterexample = Counterexample(violation=violation, events=events)
             break
     report.states, report.events, report.depth = len(states), len(events), len(events)
     report.seconds = time.monotonic() - started
--- a/tests/test_model_mends.py
+++ b/tests/test_model_mends.py
@@ -1,23 +1,27 @@
-"""Runs written out by hand for what the review of the store found; each is also played by the
-replica without the protection, which it catches."""
+"""Regression tests for faults that a review of the store found, as written-out runs of the model
+checker. Most runs are also played with a replica that lacks the protection, and
+must then show the fault."""
 
 import pytest
-import weak_replicas as W
+import weak_replicas as weak
 from model_script import A, B, C, D, Script
 
 from hollowhall.base import constants
 from hollowhall.explore.replica import ModelReplica
 
 
-@pytest.mark.parametrize("build, rule", [(ModelReplica, None), (W.VotesBeforeSync, "one_leader_a_term")])
-def test_a_vote_is_on_disk_before_it_is_told(build, rule):
-    """C's vote for A waits for the disk, which loses power; then B asks C in the same term."""
-    run = Script(build=build)
+@pytest.mark.parametrize(
+    "replica_class, rule", [(ModelReplica, None), (weak.VotesBeforeSync, "one_leader_a_term")]
+)
+def test_a_vote_is_on_disk_before_it_is_sent(replica_class, rule):
+    """C loses power while its vote for A waits for the disk; then B asks for C's vote in the same
+    term. A vote sent before the sync would let A and B lead in one term."""
+    run = Script(replica_class=replica_class)
     run.play("timeout", A)
     run.exchange(A, C, "prevote")
     run.play("hold", C)
     run.request(A, C, "vote")
-    if run.under_way(C, A, "vote", reply=True):  # it was told before it was on disk
+    if run.in_flight(C, A, "vote", reply=True):  # sent before it was on disk
         run.reply(C, A, "vote")
     run.play("power", C, False, False)
     run.play("restart", C)
@@ -28,10 +32,17 @@
     assert (run.violation and run.violation.rule) == rule
 
 
-@pytest.mark.parametrize("build, harmed", [(ModelReplica, False), (W.CountsBeforeSnapshot, True)])
+@pytest.mark.parametrize(
+    "replica_class, counted_too_early", [(ModelReplica, False), (weak.CountsBeforeSnapshot, True)]
+)
 @pytest.mark.parametrize("renamed", [False, True])
-def test_a_member_counts_on_disk_only_with_the_snapshot_it_counts_by(build, harmed, renamed):
-    run = Script(build=build, snap_every=4)
+def test_a_member_counts_on_disk_only_with_the_snapshot_it_counts_by(
+    replica_class, counted_too_early, renamed
+):
+    """A replica with a new disk catches up by a snapshot and loses power before the snapshot is on
+    disk. A disk that says that it counts as a member must hold the snapshot: else the member would
+    vote without the committed entries."""
+    run = Script(replica_class=replica_class, snap_every=4)
     run.elect(A, C)
     run.append(A, C, times=2)
     for number in range(1, 9):
@@ -50,31 +61,33 @@
     run.append(A, B, times=3)
     replica = run.replica(C)
     run.play("hold", C)
-    for _ in range(12):  # all arrives while the first write of the new term waits for the disk
+    for _ in range(12):  # all messages arrive while the first write of the new term waits for the disk
         if not replica.blank:
             break
         run.play("append", A, C)
-        operation = "snap" if run.under_way(A, C, "snap") else "append"
+        operation = "snap" if run.in_flight(A, C, "snap") else "append"
         run.request(A, C, operation)
-        if run.under_way(C, A, operation, reply=True):
+        if run.in_flight(C, A, operation, reply=True):
             run.reply(C, A, operation)
         else:
-            run.play("lose", (A, C, operation, False, 10**6))
-            run.cluster.feeding.pop((A, C), None)
+            run.play("lose", (A, C, operation, False, 10**6))  # no such message: only checks the rules
+            run.cluster.append_tasks.pop((A, C), None)
             run.replica(A).next[C] = replica.last() + 1
-    assert not replica.blank and replica.snap_in is not None, "the case that is meant"
-    run.play("sync", C)  # the write that was under way
+    assert not replica.blank and replica.snap_in is not None, "a snapshot must be under way"
+    run.play("sync", C)  # the waiting write
     run.play("sync", C)  # the frame before the snapshot
     run.play("power", C, True, renamed)
     index = max(run.cluster.committed)
     term = run.cluster.committed[index][0]
-    counts = C in run.cluster.counting
+    counts = C in run.cluster.stopped_voters
     holds = run.cluster.holds(C, index=index, term=term) or renamed
     run.close()
-    assert (counts and not holds) == (harmed and not renamed)
+    assert (counts and not holds) == (counted_too_early and not renamed)
 
 
-def test_a_newcomer_that_was_given_up_is_no_stranger_without_its_disk():
+def test_a_removed_learner_that_lost_its_disk_may_not_vote():
+    """D is added as a learner, loses its disk and is removed. When it comes back the members still
+    know its address, so it may not vote: its lost disk may have held a vote."""
     run = Script(spares=1)
     run.elect(A, B)
     run.append(A, B, times=2)
@@ -82,7 +95,7 @@
     run.play("timeout", D)
     for peer in (A, B, C):
         run.exchange(D, peer, "status")
-    assert run.replica(D).floor == 0  # nobody knows it
+    assert run.replica(D).floor == 0  # no member has ever known it
     run.play("knock", D)
     run.play("steer", A)
     assert run.replica(A).conf["learner"] == D
@@ -104,8 +117,9 @@
     run.close()
 
 
-def test_without_a_trace_it_would_vote_at_once():
-    run = Script(spares=1, build=W.ForgetsLearners)
+def test_a_removed_learner_that_was_forgotten_may_vote():
+    """The same, with replicas that forget removed learners: D may vote."""
+    run = Script(spares=1, replica_class=weak.ForgetsLearners)
     run.elect(A, B)
     run.append(A, B, times=2)
     run.append(A, C, times=2)
@@ -122,9 +136,11 @@
     run.close()
 
 
-@pytest.mark.parametrize("build, waits", [(ModelReplica, True), (W.AnswersBelowSnapshots, False)])
-def test_entries_below_a_snapshot_are_answered_for_once_it_is_on_disk(build, waits):
-    run = Script(build=build, snap_every=4)
+@pytest.mark.parametrize("replica_class, waits", [(ModelReplica, True), (weak.AnswersBelowSnapshots, False)])
+def test_entries_covered_by_a_snapshot_are_acknowledged_once_it_is_on_disk(replica_class, waits):
+    """B receives a snapshot that is not on disk yet. A late append of entries that the snapshot
+    covers must be acknowledged only after the sync: the leader counts the reply as durable."""
+    run = Script(replica_class=replica_class, snap_every=4)
     run.elect(A, C)
     for number in range(1, 9):
         run.order(A, number, number - 1)
@@ -134,45 +150,49 @@
     run.play("hold", B)
     for _ in range(6):
         run.play("append", A, B)
-        operation = "snap" if run.under_way(A, B, "snap") else "append"
+        operation = "snap" if run.in_flight(A, B, "snap") else "append"
         run.request(A, B, operation)
-        if not run.under_way(B, A, operation, reply=True):
+        if not run.in_flight(B, A, operation, reply=True):
             break
         run.reply(B, A, operation)
     assert operation == "snap" and run.replica(B).base_i > 0
-    told = []
+    answers = []
     late = {"t": run.replica(A).term, "l": A, "li": 1, "lt": 1, "es": [], "c": 1, "h": {}}
-    run.replica(B).serve(op="append", request=late, caller=A, callback=told.append)
+    run.replica(B).serve(op="append", request=late, caller=A, callback=answers.append)
     run.cluster.loop.settle()
-    assert (told == []) == waits
+    assert (answers == []) == waits
     for _ in range(6):
         run.play("sync", B)
-    assert told and told[0].value["yes"]
+    assert answers and answers[0].value["yes"]
     run.close()
 
 
-@pytest.mark.parametrize("build, refuses", [(ModelReplica, True), (W.ChangesCountAsContact, False)])
-def test_a_leader_that_is_cut_off_tells_no_news_on_the_strength_of_a_changed_list(build, refuses):
-    run = Script(build=build, spares=1)
+@pytest.mark.parametrize(
+    "replica_class, refuses", [(ModelReplica, True), (weak.ChangesCountAsContact, False)]
+)
+def test_an_isolated_leader_that_changes_the_membership_serves_no_configuration(replica_class, refuses):
+    """A has lost contact with the majority and changes the membership by an entry that no one else
+    has. The new membership does not count as contact, so A must refuse to serve the configuration."""
+    run = Script(replica_class=replica_class, spares=1)
     run.elect(A, B)
     run.append(A, B, times=2)
     run.cluster.loop.advance(constants.TOUCH)
-    run.replica(A).put_conf(learner=D)  # appended here, seen by nobody
+    run.replica(A).put_conf(learner=D)  # appended at A only
     run.cluster.loop.advance(0.1)
     leader = run.replica(A)
-    assert leader.quorum_age() < constants.ELECT_MAX  # it leads on for a moment
+    assert leader.quorum_age() < constants.ELECT_MAX  # not yet time to step down
     assert leader.out_of_touch() == refuses
-    told = []
-    leader.serve(op="charter", request={"version": 0}, caller="gateway", callback=told.append)
-    assert bool(told and not told[0].ok) == refuses
+    answers = []
+    leader.serve(op="charter", request={"version": 0}, caller="gateway", callback=answers.append)
+    assert bool(answers and not answers[0].ok) == refuses
     run.close()
 
 
-def kept_by_a_voter_that_lags(build):
-    """A and C know a lease, B lags behind its grant. B alone hears of a keep-alive, which its
-    answer confirms although its log does not fit yet; A ends, and C leads by B's vote. Returns (s at
-    which the keep-alive came in, s at which C lets the lease run out)."""
-    run = Script(build=build)
+def keep_alive_through_lagging_voter(replica_class):
+    """A and C know a lease whose grant B lacks. Only B receives a keep-alive, and its reply confirms
+    it although B's log does not match yet; then A fails, and C is elected by B's vote. Returns (time
+    of the keep-alive, time at which C expires the lease), in seconds."""
+    run = Script(replica_class=replica_class)
     run.elect(A, C)
     run.append(A, C, times=3)
     granted, kept = [], []
@@ -187,7 +207,7 @@
     now = run.replica(A).seam.now()
     run.replica(A).serve(op="keep", request={"hold": lease}, caller="primary", callback=kept.append)
     run.append(A, B, times=1)
-    assert kept[0].ok and lease not in run.replica(B).keys.holds, "the case that is meant"
+    assert kept[0].ok and lease not in run.replica(B).keys.holds, "A confirms, and B lacks the lease"
     run.play("power", A, False, False)
     run.elect(C, B)
     ends = run.replica(C).hold_ends[lease]
@@ -196,16 +216,19 @@
 
 
 def test_a_keep_alive_is_known_to_a_voter_that_has_not_applied_the_lease():
-    now, ends = kept_by_a_voter_that_lags(ModelReplica)
+    """A vote carries the keep-alives of leases that the voter does not know, so that the new leader
+    does not expire such a lease early."""
+    now, ends = keep_alive_through_lagging_voter(ModelReplica)
     assert ends >= now + 0.95 - 1e-6
 
 
-def test_a_voter_that_tells_of_known_leases_only_lets_it_run_out_early():
-    now, ends = kept_by_a_voter_that_lags(W.TellsKnownLeasesOnly)
+def test_a_voter_that_reports_only_known_leases_makes_it_expire_early():
+    now, ends = keep_alive_through_lagging_voter(weak.TellsKnownLeasesOnly)
     assert ends < now + 0.5
 
 
-def test_leases_that_are_gone_are_told_of_for_a_while_only():
+def test_keep_alive_times_of_revoked_leases_are_dropped():
+    """Keep-alive times of revoked leases are dropped after a while, so that they do not pile up."""
     run = Script()
     run.elect(A, C)
     run.append(A, C, times=3)
@@ -217,7 +240,7 @@
             op="revoke",
             request={"hold": granted[-1].value["hold"]},
             caller="primary",
-            callback=lambda o: None,
+            callback=lambda result: None,
         )
         run.append(A, C, times=2)
     assert len(leader.keeps()) == 30
