--- a/hollowhall/explore/breadth.py
+++ b/hollowhall/explore/breadth.py
@@ -7,35 +7,35 @@
 from .search import Counterexample, Report, first_election, play
 
 
-def possible_events(cluster, setting, used):
-    """The events that the search tries next. `used(name)` counts the events of a name on the path so far."""
-    out = [("deliver", n) for n in cluster.network.messages]
+def possible_events(cluster, setting, count_used):
+    """The events that the search tries next. `count_used(name)` counts a name on the path."""
+    events = [("deliver", n) for n in cluster.network.messages]
     for replica in cluster.running():
         address = replica.params.addr
         if replica.rank == LEADER:
             for peer in replica.peers:
                 task = cluster.append_tasks.get((address, peer))
                 if task is None or task.done():
-                    out.append(("append", address, peer))
-            out += possible_orders(cluster, setting, address)
+                    events.append(("append", address, peer))
+            events += possible_orders(cluster, setting, address)
             if not any(x.kind == "read" and x.returned is None for x in cluster.operations):
-                out.append(("read", address))
-        if used("timeout") < setting.timeouts:
-            out.append(("timeout", address))
-        if used("power") < setting.crashes:
-            out.append(("power", address, False, False))
-    out += [("restart", a) for a in cluster.addresses if a not in cluster.replicas]
-    return out
+                events.append(("read", address))
+        if count_used("timeout") < setting.timeouts:
+            events.append(("timeout", address))
+        if count_used("power") < setting.crashes:
+            events.append(("power", address, False, False))
+    events += [("restart", a) for a in cluster.addresses if a not in cluster.replicas]
+    return events
 
 
 def possible_orders(cluster, setting, address):
     """A new order based on the replica's current configuration, and retries of the unconfirmed ones."""
     current = cluster.replicas[address].record.charter.get("chosen", 0)
-    out = [("order", address, x.number, x.base, x.author) for x in unconfirmed(cluster)]
+    orders = [("order", address, x.number, x.base, x.author) for x in unconfirmed(cluster)]
     if len(cluster.orders) < setting.orders:
         author = f"op{len(cluster.orders)}"
-        out.append(("order", address, current + 1, current, author))
-    return out
+        orders.append(("order", address, current + 1, current, author))
+    return orders
 
 
 def unconfirmed(cluster):
@@ -65,8 +65,8 @@
             cluster.close()
             break
         if len(path) < depth:
-            names = [event[0] for event in path]
-            for event in possible_events(cluster, setting, names.count):
+            event_names = [event[0] for event in path]
+            for event in possible_events(cluster, setting, event_names.count):
                 queue.append((*path, event))
             queue = drop_if_seen(queue, seen, cluster)
         cluster.close()
--- a/hollowhall/explore/cluster.py
+++ b/hollowhall/explore/cluster.py
@@ -62,14 +62,14 @@
     def _bootstrap_disks(self):
         """Writes to each initial member's disk the log of a bootstrapped store at FORMAT_LEVEL."""
         voters = self.addresses[: self.members]
-        first = {"v": 1, "voters": voters, "learner": "", "out": "", "past": []}
-        bodies = [["noop"], ["members", first]] + [["level", n + 1] for n in range(FORMAT_LEVEL)]
+        membership = {"v": 1, "voters": voters, "learner": "", "out": "", "past": []}
+        bodies = [["noop"], ["members", membership]] + [["level", n + 1] for n in range(FORMAT_LEVEL)]
         entries = [[n + 1, 1, pack(body)] for n, body in enumerate(bodies)]
         for address in voters:
-            ring = Ring(disk=self.disks[address], files=LOG_SEGMENTS, size=LOG_SEGMENT_BYTES)
-            ring.load()
-            hard = {"t": 1, "v": "", "m": True, "f": None}
-            self.loop.complete(ring.put(hard=hard, es=entries))
+            segments = Ring(disk=self.disks[address], files=LOG_SEGMENTS, size=LOG_SEGMENT_BYTES)
+            segments.load()
+            hard_state = {"t": 1, "v": "", "m": True, "f": None}
+            self.loop.complete(segments.put(hard=hard_state, es=entries))
 
     # --- replicas
 
@@ -115,14 +115,14 @@
 
     def _note_durable_state(self, address):
         """Reads from its disk which entries a stopped replica holds and whether it may vote."""
-        ring = Ring(disk=self.disks[address], files=LOG_SEGMENTS, size=LOG_SEGMENT_BYTES)
+        segments = Ring(disk=self.disks[address], files=LOG_SEGMENTS, size=LOG_SEGMENT_BYTES)
         try:
-            hard, snapshot, entries = ring.load()
+            hard_state, snapshot, entries = segments.load()
         except Raised as error:
             self.loop.errors.append(f"{address}: {error}")
             return
         self.stopped_voters.discard(address)
-        if hard.get("m") or hard.get("f") == 0:
+        if hard_state.get("m") or hard_state.get("f") == 0:
             self.stopped_voters.add(address)
         snapshot_index = snapshot["i"] if snapshot else 0
         self.durable[address] = (snapshot_index, {index: term for index, term, _ in entries})
@@ -159,14 +159,14 @@
 
     def fingerprint(self):
         """A hash of the state; a search treats states with equal hashes as one."""
-        parts = []
+        replica_parts = []
         for address in self.addresses:
             replica = self.replicas.get(address)
             if replica is None:
-                parts.append((address, self.durable.get(address)))
+                replica_parts.append((address, self.durable.get(address)))
                 continue
             log = tuple((index, term) for index, term, _ in replica.book)
-            parts.append(
+            replica_parts.append(
                 (
                     address,
                     replica.rank,
@@ -195,7 +195,7 @@
             )
         messages = sorted(repr(m.key()) for m in self.network.messages.values())
         operations = [(x.kind, x.order, x.returned is None, x.confirmed) for x in self.operations]
-        return hash((repr(parts), tuple(messages), repr(operations), round(self.loop.now, 3)))
+        return hash((repr(replica_parts), tuple(messages), repr(operations), round(self.loop.now, 3)))
 
     def close(self):
         for address in list(self.replicas):
