--- a/hollowhall/record/__init__.py
+++ b/hollowhall/record/__init__.py
@@ -1,8 +1,9 @@
-"""The record: the deterministic machine that every almanac and every desk runs
-over the same entries. A turn carries its desk's epoch, its clock's epoch and its
-first stamp; each event in it has the next stamp. A turn of an old epoch, or whose
-stamp is not above the last, changes nothing. Every rule of safety is looked at
-here, when an entry is applied, whatever the desk that proposed it believed."""
+"""The record: the deterministic state machine that every store member and every
+scheduler applies the same log entries to. A batch of decisions carries the epoch of the
+scheduler that made it, the epoch of the clock that issued its stamps, and its first
+stamp; the events in it take consecutive stamps. A batch from an old epoch, or whose first
+stamp is not above the last one applied, changes nothing. Every safety rule is checked
+here, when an entry is applied, and not only by the scheduler that proposed it."""
 
 import hashlib
 import zlib
@@ -17,69 +18,86 @@
 from .edits import EditsMixin
 from .jobs import JobsMixin, weight_of
 from .kinds import Job, Leg, Step, Task, Worker
-from .legs import LegsMixin
+from .legs import AttemptsMixin
 from .queues import QueuesMixin
 from .reservations import ReservationsMixin
 from .tenants import TenantsMixin
 
 
-def known(level):
+def refuse_newer_level(level):
+    """Raises Raised(NewerLevel) for a format level that this release does not know."""
     if level > constants.LEVEL:
         raise Raised(NewerLevel(level=level, known=constants.LEVEL))
 
 
 def stamps_of(event):
-    """How many stamps an event takes: a gang one for each member."""
+    """How many consecutive stamps an event takes: one, or one per member for a gang."""
     return len(event[3]) if event[0] == "gang" else 1
 
 
 def phys(stamp):
+    """The physical part of a stamp, in milliseconds."""
     return stamp >> constants.LOGICAL_BITS
 
 
 class Record(
-    BudgetsMixin, CopyingMixin, EditsMixin, JobsMixin, LegsMixin, QueuesMixin, ReservationsMixin, TenantsMixin
+    BudgetsMixin,
+    CopyingMixin,
+    EditsMixin,
+    JobsMixin,
+    AttemptsMixin,
+    QueuesMixin,
+    ReservationsMixin,
+    TenantsMixin,
 ):
+    """Jobs, tasks, attempts, workers, reservations, tenants and the configuration. Changed only by
+    `enact`, so that replicas that applied the same entries hold the same state."""
+
     def __init__(self):
         self.clear()
 
     def clear(self):
+        """Empties the record, at format level 0 and configuration version 1."""
         self.epoch = self.clock_epoch = self.last = self.level = self.sum = 0
         self.charter = {"version": 1, "rows": {}, "at": 0}
         self.jobs, self.names, self.workers, self.legs, self.gone = {}, {}, {}, {}, {}
-        self.fleet = 0  # counts what changes who is there; no part of a picture
-        self.evacuated, self.taken = {}, {}  # zone: stamp; operators' version: its mark
+        self.fleet = 0  # counts workers added and removed; not part of a snapshot
+        self.evacuated, self.taken = (
+            {},
+            {},
+        )  # zone: stamp; version chosen by an operator: idempotency key of its edit
         self.clear_reservations()
         self.clear_tenants()
         self.clear_budgets()
         self.derive()
 
     def derive(self):
-        """What follows from the rest and so is not kept in a picture."""
+        """Recomputes the state that follows from the rest and is not part of a snapshot."""
         self.rule = constants.RULES[self.level]
         self.index_places()
         self.fleet += 1
-        self.weight = sum(weight_of(j.spec) for j in self.jobs.values())
+        self.weight = sum(weight_of(job.spec) for job in self.jobs.values())
         self.ready, self.lines, self.ended = {}, {}, deque()
         self.lane_run, self.lane_used = {}, {}
         self.tenant_used, self.tenant_lasting = {}, {}
-        for w in self.workers.values():
-            w.used, w.runs = [0, 0, 0], {}
-        for j in self.jobs.values():
-            for s in j.steps.values():
-                s.on, s.racks = {}, {}
-            for t in j.tasks.values():
-                t.live = 0
-                if t.state == "ready":
-                    self.be_ready(t)
-            if j.ended:
-                self.ended.append((j.ended, j.name))
+        for worker in self.workers.values():
+            worker.used, worker.runs = [0, 0, 0], {}
+        for job in self.jobs.values():
+            for step in job.steps.values():
+                step.on, step.racks = {}, {}
+            for task in job.tasks.values():
+                task.live = 0
+                if task.state == "ready":
+                    self.be_ready(task)
+            if job.ended:
+                self.ended.append((job.ended, job.name))
         self.ended = deque(sorted(self.ended))
-        for g in sorted(self.legs.values(), key=lambda g: g.run):
-            self.take_room(attempt=g, sign=1)
-            self.jobs[g.job].tasks[g.task].live += 1
+        for attempt in sorted(self.legs.values(), key=lambda attempt: attempt.run):
+            self.take_room(attempt=attempt, sign=1)
+            self.jobs[attempt.job].tasks[attempt.task].live += 1
 
     def pack(self, *, jobs=True):
+        """A snapshot of the record as a dict that can be packed; without jobs if `jobs` is false."""
         return (
             {
                 "epoch": self.epoch,
@@ -88,9 +106,9 @@
                 "charter": self.charter,
                 "names": dict(self.names),
                 "gone": dict(self.gone),
-                "jobs": [j.pack() for j in self.jobs.values()] if jobs else [],
-                "workers": [w.pack() for w in self.workers.values()],
-                "legs": [g.pack() for g in self.legs.values()],
+                "jobs": [job.pack() for job in self.jobs.values()] if jobs else [],
+                "workers": [worker.pack() for worker in self.workers.values()],
+                "legs": [attempt.pack() for attempt in self.legs.values()],
             }
             | ({"level": self.level, "sum": self.sum} if self.level else {})
             | ({"evacuated": dict(self.evacuated), "taken": dict(self.taken)} if self.level > 1 else {})
@@ -99,38 +117,44 @@
             | self.pack_budgets()
         )
 
-    def load(self, d):
-        known(d.get("level", 0))
+    def load(self, snapshot):
+        """Replaces the whole state by a snapshot's; raises Raised(NewerLevel) if its format is not known."""
+        refuse_newer_level(snapshot.get("level", 0))
         self.copying = None
-        self.level, self.sum = d.get("level", 0), d.get("sum", 0)
-        self.epoch, self.clock_epoch, self.last = d["epoch"], d["ce"], d["last"]
-        self.charter, self.names = d["charter"], dict(d["names"])
-        self.gone = {a: tuple(b) for a, b in d["gone"].items()}
-        self.jobs = {x["name"]: Job.load(x) for x in jobs_of(d)}
-        self.workers = {x["id"]: Worker.load(x) for x in d["workers"]}
-        self.legs = {x["run"]: Leg.load(x) for x in d["legs"]}
-        self.evacuated, self.taken = dict(d.get("evacuated", {})), dict(d.get("taken", {}))
-        self.load_reservations(d)
-        self.load_tenants(d)
-        self.load_budgets(d)
+        self.level, self.sum = snapshot.get("level", 0), snapshot.get("sum", 0)
+        self.epoch, self.clock_epoch, self.last = snapshot["epoch"], snapshot["ce"], snapshot["last"]
+        self.charter, self.names = snapshot["charter"], dict(snapshot["names"])
+        self.gone = {worker_id: tuple(past_and_left) for worker_id, past_and_left in snapshot["gone"].items()}
+        self.jobs = {packed["name"]: Job.load(packed) for packed in jobs_of(snapshot)}
+        self.workers = {packed["id"]: Worker.load(packed) for packed in snapshot["workers"]}
+        self.legs = {packed["run"]: Leg.load(packed) for packed in snapshot["legs"]}
+        self.evacuated, self.taken = dict(snapshot.get("evacuated", {})), dict(snapshot.get("taken", {}))
+        self.load_reservations(snapshot)
+        self.load_tenants(snapshot)
+        self.load_budgets(snapshot)
         self.derive()
 
     def digest(self):
-        """Equal on any two members that applied the same entries."""
-        d = self.pack()
-        d["jobs"] = sorted(d["jobs"], key=lambda x: x["name"])
-        d["workers"] = sorted(d["workers"], key=lambda x: x["id"])
-        d["legs"] = sorted(d["legs"], key=lambda x: x["run"])
-        d["names"], d["gone"] = sorted(d["names"].items()), sorted(d["gone"].items())
-        return hashlib.sha256(pack(d)).hexdigest()[:24]
+        """A hash of the whole state, equal on any two members that applied the same entries."""
+        snapshot = self.pack()
+        snapshot["jobs"] = sorted(snapshot["jobs"], key=lambda packed: packed["name"])
+        snapshot["workers"] = sorted(snapshot["workers"], key=lambda packed: packed["id"])
+        snapshot["legs"] = sorted(snapshot["legs"], key=lambda packed: packed["run"])
+        snapshot["names"], snapshot["gone"] = (
+            sorted(snapshot["names"].items()),
+            sorted(snapshot["gone"].items()),
+        )
+        return hashlib.sha256(pack(snapshot)).hexdigest()[:24]
 
     def enact(self, *, op, d):
-        o = {"edit": self.edit, "turn": self.turn, "level": self.to_level}[op](d)
+        """Applies one log entry: its operation (`edit`, `turn` or `level`) and that operation's body. Gives
+        a Success or a Failure, and extends the running checksum that replicas compare by its result."""
+        result = {"edit": self.edit, "turn": self.turn, "level": self.to_level}[op](d)
         if self.level:
             self.sum = zlib.crc32(
                 pack(
                     [
-                        o.value if o.ok else type(o).__name__,
+                        result.value if result.ok else type(result).__name__,
                         self.last,
                         len(self.jobs),
                         len(self.legs),
@@ -142,43 +166,46 @@
                 ),
                 self.sum,
             )
-        return o
-
-    def to_level(self, n):
-        """The rules of a later format from here on; there is no way back. Workers taken in
-        under a format that did not ask are not believed to keep their hold until they
-        say so."""
-        known(n)
-        if n > self.level:
-            for w in self.workers.values():
-                w.keeps = w.keeps and self.level > 0
-            self.level, self.rule, self.sum = n, constants.RULES[n], 0
+        return result
+
+    def to_level(self, level):
+        """Raises the format level and applies its rules from here on; a level is never lowered.
+        Formats before level 1 did not ask workers whether they stop their tasks when their lease
+        expires, so workers that registered under them count as not doing so until they say so."""
+        refuse_newer_level(level)
+        if level > self.level:
+            for worker in self.workers.values():
+                worker.keeps = worker.keeps and self.level > 0
+            self.level, self.rule, self.sum = level, constants.RULES[level], 0
             self.index_places()
             self.assign_queues()
         return Success(value={"level": self.level})
 
-    def turn(self, d):
-        if d["e"] < self.epoch:
-            return OldEpoch(epoch=d["e"], have=self.epoch)
-        if d["c"] < self.clock_epoch:
-            return OldEpoch(epoch=d["c"], have=self.clock_epoch)
-        if d["s"] <= self.last:
-            return OldStamp(stamp=d["s"], last=self.last)
-        self.epoch, self.clock_epoch = d["e"], d["c"]
-        out = []
-        at = d["s"]
-        for ev in d["v"]:
-            n = stamps_of(ev)
-            self.last = at + n - 1
-            out.append(getattr(self, "ev_" + ev[0])(at, *ev[1:]))
-            at += n
-        return Success(value=out)
+    def turn(self, batch):
+        """Applies a batch of decisions {e: scheduler epoch, c: clock epoch, s: first stamp, v: events}
+        and gives the result of each event."""
+        if batch["e"] < self.epoch:
+            return OldEpoch(epoch=batch["e"], have=self.epoch)
+        if batch["c"] < self.clock_epoch:
+            return OldEpoch(epoch=batch["c"], have=self.clock_epoch)
+        if batch["s"] <= self.last:
+            return OldStamp(stamp=batch["s"], last=self.last)
+        self.epoch, self.clock_epoch = batch["e"], batch["c"]
+        results = []
+        stamp = batch["s"]
+        for event in batch["v"]:
+            count = stamps_of(event)
+            self.last = stamp + count - 1
+            results.append(getattr(self, "ev_" + event[0])(stamp, *event[1:]))
+            stamp += count
+        return Success(value=results)
 
     def ev_open(self, stamp):
+        """Changes no state; its batch raises the epoch and the last stamp."""
         return ["ok"]
 
     def ev_evacuate(self, stamp, zone, on):
-        """A zone whose workers take no starts, until that is taken back."""
+        """Starts (on) or ends (off) the evacuation of a zone, whose workers are given no new tasks."""
         if on:
             self.evacuated.setdefault(zone, stamp)
         else:
--- a/hollowhall/record/charter.py
+++ b/hollowhall/record/charter.py
@@ -1,6 +1,6 @@
-"""The charter (the table of lanes) and a job's body, checked by marshmallow. Every
-bad row is listed with its row and field; a job with a cycle, an unknown step or
-doubled names is refused whole."""
+"""Validation of the configuration (the table of queues) and of job bodies, with marshmallow.
+An error names each invalid row and field. A job whose steps form a cycle, name an unknown
+step or share a name is rejected as a whole."""
 
 import hashlib
 
@@ -15,33 +15,41 @@
 
 
 class RowSchema(Schema):
+    """A queue: one row of the configuration."""
+
     weight = fields.Float(required=True, validate=RANGE(min=0.01, max=1000.0))
     limit = fields.Int(strict=True, load_default=0, validate=RANGE(min=0, max=100_000))
     urgency = fields.Int(strict=True, load_default=0, validate=RANGE(min=0, max=9))
-    kind = fields.Str(validate=NAME)  # of worker, over what a step says
+    kind = fields.Str(validate=NAME)  # kind of worker; overrides that of a step
     maxFailures = fields.Int(strict=True, validate=RANGE(min=1, max=1000))
     stretch = fields.Float(validate=RANGE(min=0.0, max=1e6))
     aimMs = fields.Int(strict=True, validate=RANGE(min=0, max=1 << 40))
     place = fields.Str(validate=validate.Length(max=constants.PLACE_MAX))  # where callers reach the queue
-    open = fields.Bool(truthy={True}, falsy={False})  # asks callers for no key
+    open = fields.Bool(truthy={True}, falsy={False})  # callers need no key
     note = fields.Dict()  # the operator's own text, kept as it is
 
 
 class RoomSchema(Schema):
+    """Resources of a worker that one task takes."""
+
     cores = fields.Int(strict=True, load_default=1, validate=RANGE(min=0, max=1 << 24))
     memMb = fields.Int(strict=True, load_default=0, validate=RANGE(min=0, max=1 << 24))
     gpus = fields.Int(strict=True, load_default=0, validate=RANGE(min=0, max=4096))
 
 
 class SpreadSchema(Schema):
+    """The most tasks of one step on one worker and in one rack; 0 for no limit."""
+
     perWorker = fields.Int(strict=True, load_default=0, validate=RANGE(min=0, max=10_000))
     perRack = fields.Int(strict=True, load_default=0, validate=RANGE(min=0, max=10_000))
 
 
-ROOM0, SPREAD0 = RoomSchema().load({}), SpreadSchema().load({})  # a schema is dear to make
+ROOM0, SPREAD0 = RoomSchema().load({}), SpreadSchema().load({})  # loaded once: making a schema is slow
 
 
 class StepSchema(Schema):
+    """A step of a job: tasks that are alike, and what they need."""
+
     name = fields.Str(required=True, validate=NAME)
     after = fields.List(fields.Str(validate=NAME), load_default=list)
     tasks = fields.Int(strict=True, load_default=1, validate=RANGE(min=1, max=constants.TASKS_MAX))
@@ -55,125 +63,140 @@
     runMs = fields.Int(strict=True, load_default=0, validate=RANGE(min=0, max=86_400_000))
     ifLost = fields.Str(load_default="auto", validate=validate.OneOf(["auto", "wait", "restart"]))
     work = fields.Dict(load_default=dict)
-    gang = fields.Bool(truthy={True}, falsy={False})  # all tasks at once, or none
-    tight = fields.Bool(truthy={True}, falsy={False})  # a gang that wants one rack
-    near = fields.Str(validate=validate.Length(max=64))  # a rack preferred
-    label = fields.Str(validate=validate.Length(max=64))  # a worker must have it
-    copies = fields.Bool(truthy={True}, falsy={False})  # attempts may run side by side
-    saves = fields.Bool(truthy={True}, falsy={False})  # leaves checkpoints
-    forever = fields.Bool(truthy={True}, falsy={False})  # started again, however it ends
+    gang = fields.Bool(truthy={True}, falsy={False})  # all tasks start together, or none
+    tight = fields.Bool(truthy={True}, falsy={False})  # a gang that is placed in one rack if possible
+    near = fields.Str(validate=validate.Length(max=64))  # the preferred rack
+    label = fields.Str(validate=validate.Length(max=64))  # only workers with this label fit
+    copies = fields.Bool(truthy={True}, falsy={False})  # a task may have several attempts at once
+    saves = fields.Bool(truthy={True}, falsy={False})  # attempts leave checkpoints
+    forever = fields.Bool(truthy={True}, falsy={False})  # started again however it ends
     notBefore = fields.Int(strict=True, validate=RANGE(min=0, max=1 << 44))
     estimateMs = fields.Int(strict=True, validate=RANGE(min=0, max=1 << 40))
 
 
 class JobSchema(Schema):
+    """A job as it is submitted."""
+
     lane = fields.Str(required=True, validate=NAME)
     notBefore = fields.Int(strict=True, load_default=0, validate=RANGE(min=0, max=1 << 44))
     standing = fields.Bool(load_default=False)
-    place = fields.Str(validate=validate.Length(max=constants.PLACE_MAX))  # where it was handed in
+    place = fields.Str(validate=validate.Length(max=constants.PLACE_MAX))  # the place it was submitted at
     tenant = fields.Str(
         validate=validate.Length(min=1, max=constants.TENANT_NAME_MAX)
-    )  # whose key it came with
-    work = fields.Dict()  # handed to the worker where a step has no work of its own
+    )  # the tenant whose key the request had
+    work = fields.Dict()  # given to the worker if a step has no work of its own
     steps = fields.List(fields.Nested(StepSchema), required=True, validate=validate.Length(min=1, max=200))
 
 
 JOB, ROW = JobSchema(), RowSchema()
-LATER = ("gang", "tight", "near", "label", "copies", "saves", "forever", "notBefore", "estimateMs")
+LEVEL_2_FIELDS = ("gang", "tight", "near", "label", "copies", "saves", "forever", "notBefore", "estimateMs")
 
 
 def newest(spec):
-    """The lowest level whose record knows all that this job asks."""
+    """The lowest format level that supports every field of this job."""
     if "tenant" in spec:
         return 5
-    return 2 if any(a in s for s in spec["steps"] for a in LATER) else 0
+    return 2 if any(field in step for step in spec["steps"] for field in LEVEL_2_FIELDS) else 0
 
 
-def refuse(errors):
+def raise_bad_input(errors):
+    """Raises Raised(BadInput); errors: [[field, message], ...]."""
     raise Raised(BadInput(errors=errors))
 
 
 def check_name(name):
+    """Raises Raised(BadInput) if a name is not valid."""
     try:
         NAME(name)
-    except ValidationError as e:
-        refuse([["name", str(e.messages[0])]])
+    except ValidationError as error:
+        raise_bad_input([["name", str(error.messages[0])]])
 
 
 def check_rows(rows):
-    """Rows of a charter edit, None meaning 'drop'; raises with every bad field."""
-    g = rows_checked(rows)
+    """Rows of a configuration change as the record keeps them; None removes a row. Raises
+    Raised(BadInput) with every invalid field."""
+    check = rows_checked(rows)
     while True:
         try:
-            next(g)
-        except StopIteration as e:
-            return e.value
+            next(check)
+        except StopIteration as stop:
+            return stop.value
 
 
 def rows_checked(rows):
-    """The same in slices, for a daemon's loop: yields how many rows it has looked at."""
-    out, bad = {}, []
+    """`check_rows` as a generator that yields the number of rows checked since the last yield, so that a
+    daemon can run other work between slices; the rows are the generator's return value."""
+    checked, errors = {}, []
     if not isinstance(rows, dict):
-        refuse([["rows", "a mapping of lane to row is wanted"]])
+        raise_bad_input([["rows", "a mapping of lane to row is wanted"]])
     if len(rows) > constants.RULES[constants.LEVEL]["rows_max"]:
-        refuse([["rows", f"more than {constants.RULES[constants.LEVEL]['rows_max']} rows"]])
-    for n, (lane, row) in enumerate(rows.items()):
-        if n % constants.ROWS_SLICE == constants.ROWS_SLICE - 1:
+        raise_bad_input([["rows", f"more than {constants.RULES[constants.LEVEL]['rows_max']} rows"]])
+    for index, (lane, row) in enumerate(rows.items()):
+        if index % constants.ROWS_SLICE == constants.ROWS_SLICE - 1:
             yield constants.ROWS_SLICE
         try:
             NAME(lane)
-            out[lane] = None if row is None else ROW.load(row)
-        except ValidationError as e:
-            bad += [[f"rows.{lane}" + (f".{a}" if a else ""), m] for a, m in flat(e=e.messages)]
-    if bad:
-        refuse(bad)
-    return out
+            checked[lane] = None if row is None else ROW.load(row)
+        except ValidationError as error:
+            errors += [
+                [f"rows.{lane}" + (f".{field}" if field else ""), message]
+                for field, message in flat(e=error.messages)
+            ]
+    if errors:
+        raise_bad_input(errors)
+    return checked
 
 
 def check_job(body):
-    """A job's body in its whole form, and its digest."""
+    """(job, digest): a job's body with every default filled in, and its hash. Raises Raised(BadInput)
+    with every invalid field."""
     if (
         isinstance(body, dict)
         and isinstance(body.get("steps"), list)
         and len(body["steps"]) > constants.TASKS_MAX
-    ):  # before each is looked at: that takes memory
-        refuse([["steps", f"more than {constants.TASKS_MAX} tasks"]])
+    ):  # before validation, whose memory use grows with the number of steps
+        raise_bad_input([["steps", f"more than {constants.TASKS_MAX} tasks"]])
     try:
-        d = JOB.load(body)
-    except ValidationError as e:
-        refuse(flat(e=e.messages))
-    names, bad = [s["name"] for s in d["steps"]], []
+        job = JOB.load(body)
+    except ValidationError as error:
+        raise_bad_input(flat(e=error.messages))
+    names, errors = [step["name"] for step in job["steps"]], []
     if len(set(names)) < len(names):
-        bad.append(["steps", "two steps share a name"])
-    if sum(s["tasks"] for s in d["steps"]) > constants.TASKS_MAX:
-        bad.append(["steps", f"more than {constants.TASKS_MAX} tasks"])
-    for s in d["steps"]:
-        bad += [[f"steps.{s['name']}.after", f"unknown step {a!r}"] for a in s["after"] if a not in names]
-        r, sp = s.pop("room"), s.pop("spread")
-        if s["ifLost"] == "auto":  # a body of 0.1.0 keeps its digest
-            del s["ifLost"]
-        s["room"] = [r["cores"], r["memMb"], r["gpus"]]
-        s["perWorker"], s["perRack"] = sp["perWorker"], sp["perRack"]
-        for a in [a for a in LATER if not s.get(a, True)]:
-            del s[a]
-        if s.get("gang") and s["tasks"] > constants.GANG_MAX:
-            bad.append([f"steps.{s['name']}.tasks", f"a gang has at most {constants.GANG_MAX} members"])
-        if d["standing"]:
-            s["runMs"] = 0
-    if not bad and cycle(d["steps"]):
-        bad.append(["steps", "the steps wait for each other in a circle"])
-    if bad:
-        refuse(bad)
-    b = ormsgpack.packb(d, option=ormsgpack.OPT_SORT_KEYS)
-    return d, hashlib.sha256(b).hexdigest()[:32]
-
-
-def cycle(steps):
-    left = {s["name"]: set(s["after"]) for s in steps}
-    while left:
-        go = [n for n, a in left.items() if not a & left.keys()]
-        if not go:
+        errors.append(["steps", "two steps share a name"])
+    if sum(step["tasks"] for step in job["steps"]) > constants.TASKS_MAX:
+        errors.append(["steps", f"more than {constants.TASKS_MAX} tasks"])
+    for step in job["steps"]:
+        errors += [
+            [f"steps.{step['name']}.after", f"unknown step {earlier!r}"]
+            for earlier in step["after"]
+            if earlier not in names
+        ]
+        room, spread = step.pop("room"), step.pop("spread")
+        if step["ifLost"] == "auto":  # the default is left out: digests stay as in release 0.1.0
+            del step["ifLost"]
+        step["room"] = [room["cores"], room["memMb"], room["gpus"]]
+        step["perWorker"], step["perRack"] = spread["perWorker"], spread["perRack"]
+        for field in [field for field in LEVEL_2_FIELDS if not step.get(field, True)]:
+            del step[field]
+        if step.get("gang") and step["tasks"] > constants.GANG_MAX:
+            errors.append([f"steps.{step['name']}.tasks", f"a gang has at most {constants.GANG_MAX} members"])
+        if job["standing"]:
+            step["runMs"] = 0
+    if not errors and has_cycle(job["steps"]):
+        errors.append(["steps", "the steps wait for each other in a circle"])
+    if errors:
+        raise_bad_input(errors)
+    packed = ormsgpack.packb(job, option=ormsgpack.OPT_SORT_KEYS)
+    return job, hashlib.sha256(packed).hexdigest()[:32]
+
+
+def has_cycle(steps):
+    """Whether steps wait for each other in a circle, directly or through others."""
+    waiting = {step["name"]: set(step["after"]) for step in steps}
+    while waiting:
+        unblocked = [name for name, after in waiting.items() if not after & waiting.keys()]
+        if not unblocked:
             return True
-        for n in go:
-            del left[n]
+        for name in unblocked:
+            del waiting[name]
     return False
--- a/hollowhall/record/copying.py
+++ b/hollowhall/record/copying.py
@@ -1,7 +1,7 @@
-"""A picture of a large record, taken in slices while the record goes on. What is small
-is copied at once; jobs are packed a slice at a time, and one that is about to change
-is packed just before it does. The picture is that of the moment it was begun, and the
-loop that takes it is never held up for longer than one slice, or one job, takes."""
+"""Incremental snapshots of a large record, which keeps changing meanwhile. Small parts are
+copied at once; jobs are packed a slice at a time, and a job that is about to change is packed
+just before (copy on write). The snapshot shows the state at the moment it was begun, and the
+event loop is never blocked for longer than one slice, or one job, takes to pack."""
 
 import asyncio
 
@@ -10,21 +10,23 @@
 
 
 class Copying:
-    """One picture under way. `left` holds the jobs that are not packed yet."""
+    """A snapshot in progress. `left` holds the jobs that are not packed yet, `most` the number of tasks
+    in the next slice."""
 
     def __init__(self, *, rec):
         self.head, self.blobs = rec.pack(jobs=False), []
         self.left = dict(rec.jobs)
         self.rec, self.most = rec, min(constants.PACK_FIRST, constants.PACK_SLICE)
 
-    def put(self, js, spend):
-        n = sum(len(j.tasks) for j in js)
-        spend(s=n * constants.PACK_TASK)
-        self.blobs.append(pack([j.pack() for j in js]))
+    def put(self, jobs, spend):
+        """Packs jobs, after reporting the CPU time that this takes to `spend`."""
+        tasks = sum(len(job.tasks) for job in jobs)
+        spend(s=tasks * constants.PACK_TASK)
+        self.blobs.append(pack([job.pack() for job in jobs]))
 
     def paced(self, *, s):
-        """The last slice, and what else came then, took s: the next is smaller, or larger,
-        so that a processor of any speed is held up about alike."""
+        """Adapts the slice size after the last slice, and what else ran then, took s seconds, so
+        that a slice blocks the event loop for about as long on a processor of any speed."""
         self.most = int(
             min(
                 constants.PACK_SLICE,
@@ -33,54 +35,56 @@
         )
 
     def slice(self, spend):
-        """Packs jobs of about `most` tasks; False once none are left."""
-        js, n = [], 0
-        while self.left and n < self.most:
-            js.append(self.left.pop(next(iter(self.left))))
-            n += len(js[-1].tasks)
-        if js:
-            self.put(js, spend)
+        """Packs jobs of about `most` tasks; false once no job is left."""
+        jobs, tasks = [], 0
+        while self.left and tasks < self.most:
+            jobs.append(self.left.pop(next(iter(self.left))))
+            tasks += len(jobs[-1].tasks)
+        if jobs:
+            self.put(jobs, spend)
         return bool(self.left)
 
 
 class CopyingMixin:
+    """The part of the record that takes incremental snapshots of it."""
+
     copying = None
 
     def touch(self, job):
-        """Called before a job changes: a picture under way keeps it as it was."""
-        c = self.copying
-        if c is not None and c.left.pop(job.name, None) is not None:
-            c.put([job], self.spend)
+        """Must be called before a job changes: a snapshot in progress packs it as it was."""
+        copying = self.copying
+        if copying is not None and copying.left.pop(job.name, None) is not None:
+            copying.put([job], self.spend)
 
     def spend(self, *, s):
-        """What a touch costs is told to the daemon that has this record."""
+        """Takes the CPU seconds that a `touch` uses; replaced by the daemon during a snapshot."""
 
     def tasks_n(self):
-        return sum(len(j.tasks) for j in self.jobs.values())
+        return sum(len(job.tasks) for job in self.jobs.values())
 
     async def picture(self, *, spend, now, also=lambda: None):
-        """(the picture, what `also` gave when it was begun), or None when the record was
-        loaded anew meanwhile. One at a time: a second asker waits for the first."""
+        """(snapshot, result of `also` at the moment it was begun), or None if the record was loaded
+        from another snapshot meanwhile. One at a time: a second caller waits for the first."""
         while self.copying is not None:
             await asyncio.sleep(constants.TURN_GAP)
-        c = self.copying = Copying(rec=self)
-        x, self.spend = also(), spend
+        copying = self.copying = Copying(rec=self)
+        extra, self.spend = also(), spend
         try:
             while True:
-                t = now()
-                if not c.slice(spend):
+                started = now()
+                if not copying.slice(spend):
                     break
                 await asyncio.sleep(constants.PACK_GAP)
-                c.paced(s=now() - t - constants.PACK_GAP)
-                await asyncio.sleep(now() - t)  # at most half of the time is ours
-                if self.copying is not c:
+                copying.paced(s=now() - started - constants.PACK_GAP)
+                await asyncio.sleep(now() - started)  # packing takes at most half of the time
+                if self.copying is not copying:
                     return None
         finally:
-            if self.copying is c:
+            if self.copying is copying:
                 self.copying = None
-        return c.head | {"blobs": c.blobs}, x
+        return copying.head | {"blobs": copying.blobs}, extra
 
 
-def jobs_of(d):
-    """The jobs of a picture, whichever way it was taken."""
-    return d["jobs"] + [j for b in d.get("blobs", ()) for j in unpack(b)]
+def jobs_of(snapshot):
+    """The jobs of a snapshot, taken at once or in slices."""
+    return snapshot["jobs"] + [job for blob in snapshot.get("blobs", ()) for job in unpack(blob)]
--- a/hollowhall/record/gangs.py
+++ b/hollowhall/record/gangs.py
@@ -1,118 +1,137 @@
-"""Gangs and copies in the record. A gang is all tasks of one step, granted together
-by one event on as many workers, or not at all; its members share one attempt number
-and one checkpoint. One good end of a member is the end of all, but for a gang that lasts,
-which is ready again however it ends (from format level 4 on); when the last member
-of an attempt has ended otherwise, the gang is ready again, with one failure more
-if any member failed. A copy is a further attempt of a task that already runs,
-where its step allows that; the first good end counts and the others are stopped."""
+"""Gangs and copies in the record. A gang is all tasks of one step, granted together by one
+event, each on a worker, or not at all; its members share one attempt number and one
+checkpoint. When one member succeeds, all are done, except in a step that runs `forever`, which
+becomes ready again however it ends (from format level 4 on). When the last member of an attempt
+has ended without success, the gang becomes ready again, with one more failure if any member
+failed. A copy is a further attempt of a task that is running, if its step allows copies; the
+first success counts and the other attempts are stopped."""
 
 from .kinds import DONE, FAILED, OPEN, READY, RUNNING, STOPPED, Leg
 
 
 class GangsMixin:
+    """The part of the record that starts and ends gangs and copies."""
+
     def add_attempt(self, *, stamp, job, task, worker, no, gang=0):
-        s = job.steps[task.step]
+        """Adds attempt number `no` of a task on a worker; its stamp is its run."""
+        step = job.steps[task.step]
         task.run, task.starts = stamp, no
         task.live, job.live = task.live + 1, job.live + 1
-        g = self.legs[stamp] = Leg(
+        attempt = self.legs[stamp] = Leg(
             run=stamp,
             task=task.id,
             job=job.name,
             step=task.step,
             worker=worker.id,
             lane=job.lane,
-            room=s.spec["room"],
+            room=step.spec["room"],
             no=no,
             gang=gang,
         )
-        self.take_room(attempt=g, sign=1)
+        self.take_room(attempt=attempt, sign=1)
 
     def members(self, *, job, step):
-        n = job.steps[step].spec["tasks"]
-        return [job.tasks[f"{job.name}/{step}/{i}"] for i in range(n)]
+        """All tasks of a step, given by its name, in their order."""
+        count = job.steps[step].spec["tasks"]
+        return [job.tasks[f"{job.name}/{step}/{index}"] for index in range(count)]
 
-    def ev_gang(self, stamp, job, step, workers):
-        """All members of a gang, one worker for each in their order. The event has as
-        many stamps as workers; each member's run is one of them."""
-        j = self.jobs.get(job)
-        if j is None or step not in j.steps or not j.steps[step].spec.get("gang"):
+    def ev_gang(self, stamp, job_name, step_name, worker_ids):
+        """Starts all members of a gang, each on the worker at its place in the list. The event takes
+        as many stamps as there are workers; each member's run is one of them."""
+        job = self.jobs.get(job_name)
+        if job is None or step_name not in job.steps or not job.steps[step_name].spec.get("gang"):
             return ["no", "gone"]
-        ts, ws = self.members(job=j, step=step), [self.workers.get(w) for w in workers]
-        if len(ts) != len(ws) or None in ws:
+        tasks, workers = (
+            self.members(job=job, step=step_name),
+            [self.workers.get(worker) for worker in worker_ids],
+        )
+        if len(tasks) != len(workers) or None in workers:
             return ["no", "gone"]
-        if why := self.tenant_refusal(job=j, room=j.steps[step].spec["room"], count=len(ts)):
+        if why := self.tenant_refusal(job=job, room=job.steps[step_name].spec["room"], count=len(tasks)):
             return ["no", why]
-        no, gang, now, tried = max(t.starts for t in ts) + 1, stamp, stamp >> self.bits, []
-        self.touch(j)
-        for i, (t, w) in enumerate(zip(ts, ws)):
-            why = self.unfit(t, w, now=now) or ("attempts" if t.live else "")
+        number, gang, now, attempts = (
+            max(task.starts for task in tasks) + 1,
+            stamp,
+            stamp >> self.logical_bits,
+            [],
+        )
+        self.touch(job)
+        for index, (task, worker) in enumerate(zip(tasks, workers)):
+            why = self.unfit(task, worker, now=now) or ("attempts" if task.live else "")
             if why:
-                for g in tried:
-                    self.take_room(attempt=g, sign=-1)
+                for attempt in attempts:
+                    self.take_room(attempt=attempt, sign=-1)
                 return ["no", why]
-            tried.append(
+            attempts.append(
                 Leg(
-                    run=stamp + i,
-                    task=t.id,
-                    job=job,
-                    step=step,
-                    worker=w.id,
-                    lane=j.lane,
-                    room=j.steps[step].spec["room"],
-                    no=no,
+                    run=stamp + index,
+                    task=task.id,
+                    job=job_name,
+                    step=step_name,
+                    worker=worker.id,
+                    lane=job.lane,
+                    room=job.steps[step_name].spec["room"],
+                    no=number,
                     gang=gang,
                 )
             )
-            self.take_room(attempt=tried[-1], sign=1)
-        for t, g in zip(ts, tried):
-            self.task_to(task=t, state=RUNNING, stamp=g.run)
-            t.run, t.starts, t.live = g.run, no, 1
-            self.legs[g.run] = g
-        j.live += len(ts)
+            self.take_room(attempt=attempts[-1], sign=1)
+        for task, attempt in zip(tasks, attempts):
+            self.task_to(task=task, state=RUNNING, stamp=attempt.run)
+            task.run, task.starts, task.live = attempt.run, number, 1
+            self.legs[attempt.run] = attempt
+        job.live += len(tasks)
         return ["ok", stamp]
 
-    def ev_copy(self, stamp, task, worker):
-        j = self.jobs.get(task.rsplit("/", 2)[0])
-        t = j.tasks.get(task) if j else None
-        w = self.workers.get(worker)
-        if t is None or w is None or j.state != OPEN or t.state != RUNNING:
+    def ev_copy(self, stamp, task_id, worker_id):
+        """Starts a further attempt of a running task on another worker."""
+        job = self.jobs.get(task_id.rsplit("/", 2)[0])
+        task = job.tasks.get(task_id) if job else None
+        worker = self.workers.get(worker_id)
+        if task is None or worker is None or job.state != OPEN or task.state != RUNNING:
             return ["no", "state"]
-        sp = j.steps[t.step].spec
-        if not sp.get("copies") or sp.get("gang") or any(g.task == task for g in w.runs.values()):
+        spec = job.steps[task.step].spec
+        if (
+            not spec.get("copies")
+            or spec.get("gang")
+            or any(attempt.task == task_id for attempt in worker.runs.values())
+        ):
             return ["no", "spread"]
-        why = self.unfit_worker(step=j.steps[t.step], spec=sp, worker=w, now=stamp >> self.bits, lane=j.lane)
-        why = why or self.tenant_refusal(job=j, room=sp["room"])
+        why = self.unfit_worker(
+            step=job.steps[task.step], spec=spec, worker=worker, now=stamp >> self.logical_bits, lane=job.lane
+        )
+        why = why or self.tenant_refusal(job=job, room=spec["room"])
         if why:
             return ["no", why]
-        self.touch(j)
-        self.add_attempt(stamp=stamp, job=j, task=t, worker=w, no=t.starts + 1)
+        self.touch(job)
+        self.add_attempt(stamp=stamp, job=job, task=task, worker=worker, no=task.starts + 1)
         return ["ok", stamp]
 
     def gang_end(self, *, job, attempt, task, stamp, how, why, saved):
-        """A member's attempt ended; its room is free already."""
-        s, ts = job.steps[attempt.step], self.members(job=job, step=attempt.step)
+        """Handles the end of a member's attempt, whose resources are freed already."""
+        step, members = job.steps[attempt.step], self.members(job=job, step=attempt.step)
         if saved:
-            for x in ts:
-                x.saved = saved
-        lasts = self.rule["gangs_last"] and s.spec.get("forever")
+            for member in members:
+                member.saved = saved
+        lasts = self.rule["gangs_last"] and step.spec.get("forever")
         if how == "ok" and task.state == RUNNING and job.state == OPEN and not lasts:
-            for x in ts:
-                self.task_to(task=x, state=DONE, stamp=stamp)
-            s.left = 0
-            self.steps_done(job=job, step=s, stamp=stamp)
-        elif how == "bad" and s.failed != attempt.no:
-            s.failed = attempt.no
-            for x in ts:
-                x.fails += 1
-                x.bad = (x.bad + [attempt.worker])[-3:]
-        if any(x.live for x in ts) or task.state != RUNNING:
+            for member in members:
+                self.task_to(task=member, state=DONE, stamp=stamp)
+            step.left = 0
+            self.steps_done(job=job, step=step, stamp=stamp)
+        elif how == "bad" and step.failed != attempt.no:
+            step.failed = attempt.no
+            for member in members:
+                member.fails += 1
+                member.bad = (member.bad + [attempt.worker])[-3:]
+        if any(member.live for member in members) or task.state != RUNNING:
             return
         if job.state != OPEN:
-            for x in ts:
-                self.task_to(task=x, state=STOPPED, stamp=stamp)
-        elif not s.spec.get("forever") and task.fails >= s.spec["maxFailures"]:
-            for x in ts:
-                self.task_to(task=x, state=FAILED, stamp=stamp)
+            for member in members:
+                self.task_to(task=member, state=STOPPED, stamp=stamp)
+        elif not step.spec.get("forever") and task.fails >= step.spec["maxFailures"]:
+            for member in members:
+                self.task_to(task=member, state=FAILED, stamp=stamp)
             self.wind_up(
                 job=job,
                 goal=FAILED,
@@ -120,13 +139,12 @@
                 why=f"gang {attempt.step} failed {task.fails} times, last: {why}",
             )
         else:
-            for x in ts:
-                self.task_to(task=x, state=READY, stamp=stamp)
+            for member in members:
+                self.task_to(task=member, state=READY, stamp=stamp)
 
     def copy_end(self, *, job, attempt, task, stamp, how):
-        """What a copy's end means beside the task's own: the others are stopped when one
-        ended well, and the task runs on while any is left."""
+        """Stops the other attempts of a task after one of them succeeded."""
         if how == "ok" and task.live:
-            for x in self.legs_of(job):
-                if x.task == task.id:
-                    x.stop = x.stop or "copy"
+            for other in self.legs_of(job):
+                if other.task == task.id:
+                    other.stop = other.stop or "copy"
--- a/hollowhall/record/jobs.py
+++ b/hollowhall/record/jobs.py
@@ -1,5 +1,5 @@
-"""Jobs in the record: taken under a name, cancelled, ended, forgotten. `job_to`
-and `task_to` are the only places where a job's or a task's state changes."""
+"""Jobs in the record: accepted under a name, cancelled, ended and forgotten. Only `job_to`
+and `task_to` change the state of a job or a task."""
 
 from bisect import bisect_left, insort
 
@@ -12,7 +12,7 @@
 
 
 def shape_of(spec):
-    """What a step asks of any worker: steps of one shape fit, or do not fit, alike."""
+    """What a step requires of a worker: steps of one shape fit the same workers."""
     return (
         spec["kind"],
         spec["zone"],
@@ -25,17 +25,20 @@
 
 
 def weight_of(spec):
-    """About how many bytes of memory a job takes, until it is forgotten."""
+    """An estimate of the bytes of memory that a job takes until it is forgotten."""
     return (
         constants.JOB_BYTES
         + len(pack(spec.get("work")))
         + len(spec.get("place", ""))
-        + sum(constants.STEP_BYTES + constants.TASK_BYTES * s["tasks"] for s in spec["steps"])
+        + sum(constants.STEP_BYTES + constants.TASK_BYTES * step["tasks"] for step in spec["steps"])
     )
 
 
 class JobsMixin:
+    """The part of the record that holds jobs and their tasks."""
+
     def task_to(self, *, task, state, stamp):
+        """Changes a task's state; asserts that the transition is allowed."""
         assert state in TASK_MOVES.get(task.state, ()), (task.id, task.state, state)
         if task.state == READY:
             self.unready(task)
@@ -45,37 +48,39 @@
             self.be_ready(task)
 
     def line_of(self, *, job, step):
-        """The line of its queue that a step waits in: (its shape, its tenant)."""
+        """Key of the line, among those of its queue, that a step waits in: (shape, tenant)."""
         return shape_of(job.steps[step].spec), job.tenant
 
     def be_ready(self, task):
-        """Into the ready ones, by step, and its step into the line of its queue, shape and tenant,
-        in the order of jobs: placement reads lines and not every step that waits."""
-        k = (task.job, task.step)
-        if k not in self.ready:
-            self.ready[k] = {}
-            j = self.jobs[task.job]
+        """Adds a task to the ready tasks of its step, and the step to the line of its queue, shape and
+        tenant, ordered by the job's stamp: placement reads lines and not every waiting step."""
+        step_key = (task.job, task.step)
+        if step_key not in self.ready:
+            self.ready[step_key] = {}
+            job = self.jobs[task.job]
             insort(
-                self.lines.setdefault(j.lane, {}).setdefault(self.line_of(job=j, step=task.step), []),
-                (j.stamp, *k),
+                self.lines.setdefault(job.lane, {}).setdefault(self.line_of(job=job, step=task.step), []),
+                (job.stamp, *step_key),
             )
-        self.ready[k][task.n] = task
+        self.ready[step_key][task.n] = task
 
     def unready(self, task):
-        k = (task.job, task.step)
-        d = self.ready.get(k, {})
-        d.pop(task.n, None)
-        if not d and self.ready.pop(k, None) is not None:
-            j = self.jobs[task.job]
-            key, x = self.line_of(job=j, step=task.step), (j.stamp, *k)
-            line = self.lines[j.lane][key]
-            del line[bisect_left(line, x)]
+        """Removes a task from the ready tasks, and its step from its line with the last one."""
+        step_key = (task.job, task.step)
+        tasks = self.ready.get(step_key, {})
+        tasks.pop(task.n, None)
+        if not tasks and self.ready.pop(step_key, None) is not None:
+            job = self.jobs[task.job]
+            line_key, entry = self.line_of(job=job, step=task.step), (job.stamp, *step_key)
+            line = self.lines[job.lane][line_key]
+            del line[bisect_left(line, entry)]
             if not line:
-                del self.lines[j.lane][key]
-                if not self.lines[j.lane]:
-                    del self.lines[j.lane]
+                del self.lines[job.lane][line_key]
+                if not self.lines[job.lane]:
+                    del self.lines[job.lane]
 
     def job_to(self, *, job, state, stamp, why=""):
+        """Changes a job's state; asserts that the transition is allowed."""
         assert state in JOB_MOVES.get(job.state, ()), (job.name, job.state, state)
         job.state, job.why = state, why or job.why
         if state in (DONE, FAILED, CANCELLED):
@@ -83,123 +88,131 @@
             self.ended.append((stamp, job.name))
 
     def ev_job(self, stamp, name, spec, digest):
-        """A job sent in. The same name and body again is the same job."""
-        j = self.jobs.get(name)
-        if j is not None:
-            return ["same" if j.digest == digest else "other", j.state]
-        old = self.names.get(name)
-        if old is not None:
-            return ["gone" if old[1] == digest else "other", old[2]]
+        """Accepts a job. The same name and body again is the same job."""
+        job = self.jobs.get(name)
+        if job is not None:
+            return ["same" if job.digest == digest else "other", job.state]
+        forgotten = self.names.get(name)
+        if forgotten is not None:
+            return ["gone" if forgotten[1] == digest else "other", forgotten[2]]
         lane = self.queue_named(name=spec["lane"], place=spec.get("place", ""))
         if lane not in self.charter["rows"]:
             return ["nolane", lane]
         if not self.knows_tenant(spec.get("tenant", "")):
             return ["notenant", spec["tenant"]]
-        j = self.jobs[name] = Job(name=name, lane=lane, digest=digest, stamp=stamp, spec=spec)
-        for s in spec["steps"]:
-            j.steps[s["name"]] = Step(name=s["name"], spec=s, left=s["tasks"])
-            for n in range(s["tasks"]):
-                i = f"{name}/{s['name']}/{n}"
-                j.tasks[i] = Task(
-                    id=i, job=name, step=s["name"], n=n, due=max(spec["notBefore"], s.get("notBefore", 0))
+        job = self.jobs[name] = Job(name=name, lane=lane, digest=digest, stamp=stamp, spec=spec)
+        for step in spec["steps"]:
+            job.steps[step["name"]] = Step(name=step["name"], spec=step, left=step["tasks"])
+            for index in range(step["tasks"]):
+                task_id = f"{name}/{step['name']}/{index}"
+                job.tasks[task_id] = Task(
+                    id=task_id,
+                    job=name,
+                    step=step["name"],
+                    n=index,
+                    due=max(spec["notBefore"], step.get("notBefore", 0)),
                 )
         self.weight += weight_of(spec)
         if self.rule["jobs_follow_place"]:
-            self.assign_queue(j)
-        self.open_steps(job=j, stamp=stamp)
-        return ["new", j.state]
+            self.assign_queue(job)
+        self.open_steps(job=job, stamp=stamp)
+        return ["new", job.state]
 
     def open_steps(self, *, job, stamp):
-        """Tasks whose earlier steps are all done become ready."""
-        for s in job.steps.values():
-            if all(job.steps[a].left == 0 for a in s.spec["after"]):
-                for n in range(s.spec["tasks"]):
-                    t = job.tasks[f"{job.name}/{s.name}/{n}"]
-                    if t.state == WAITING:
-                        self.task_to(task=t, state=READY, stamp=stamp)
+        """Makes the waiting tasks of each step ready whose earlier steps are all done."""
+        for step in job.steps.values():
+            if all(job.steps[name].left == 0 for name in step.spec["after"]):
+                for index in range(step.spec["tasks"]):
+                    task = job.tasks[f"{job.name}/{step.name}/{index}"]
+                    if task.state == WAITING:
+                        self.task_to(task=task, state=READY, stamp=stamp)
 
     def ev_cancel(self, stamp, name):
-        j = self.jobs.get(name)
-        if j is None:
-            old = self.names.get(name)
-            return ["gone", old[2]] if old else ["none", ""]
-        if j.state == OPEN:
-            self.touch(j)
-            self.wind_up(job=j, goal=CANCELLED, stamp=stamp, why="cancelled")
-        return ["ok", j.state]
+        """Cancels an open job; its running attempts are asked to stop."""
+        job = self.jobs.get(name)
+        if job is None:
+            forgotten = self.names.get(name)
+            return ["gone", forgotten[2]] if forgotten else ["none", ""]
+        if job.state == OPEN:
+            self.touch(job)
+            self.wind_up(job=job, goal=CANCELLED, stamp=stamp, why="cancelled")
+        return ["ok", job.state]
 
     def wind_up(self, *, job, goal, stamp, why):
-        """The job is to end as `goal`; nothing of it starts any more."""
+        """Ends a job as `goal`: its tasks start no more, and it is ending until its last attempt ends."""
         job.goal = goal
-        for t in job.tasks.values():
-            if t.state in (WAITING, READY):
-                self.task_to(task=t, state=STOPPED, stamp=stamp)
+        for task in job.tasks.values():
+            if task.state in (WAITING, READY):
+                self.task_to(task=task, state=STOPPED, stamp=stamp)
         if job.live == 0:
             self.job_to(job=job, state=goal, stamp=stamp, why=why)
             return
         self.job_to(job=job, state=ENDING, stamp=stamp, why=why)
-        for g in self.legs_of(job):
-            g.stop = g.stop or why
+        for attempt in self.legs_of(job):
+            attempt.stop = attempt.stop or why
 
     def legs_of(self, job):
-        """A job's legs, by the workers that its steps stand on."""
+        """The attempts of a job, found by the workers that its steps run on."""
         return [
-            g
-            for s in job.steps.values()
-            for i in s.on
-            for g in self.workers[i].runs.values()
-            if g.job == job.name and g.step == s.name
+            attempt
+            for step in job.steps.values()
+            for worker_id in step.on
+            for attempt in self.workers[worker_id].runs.values()
+            if attempt.job == job.name and attempt.step == step.name
         ]
 
     def task_done(self, *, job, task, stamp):
+        """Marks a task as done, and ends its step or job with the last one."""
         self.task_to(task=task, state=DONE, stamp=stamp)
-        s = job.steps[task.step]
-        s.left -= 1
-        self.steps_done(job=job, step=s, stamp=stamp)
+        step = job.steps[task.step]
+        step.left -= 1
+        self.steps_done(job=job, step=step, stamp=stamp)
 
     def steps_done(self, *, job, step, stamp):
+        """If a step is done, ends the job or opens the steps that waited for it."""
         if step.left == 0 and job.state == OPEN:
-            if all(x.left == 0 for x in job.steps.values()):
+            if all(other.left == 0 for other in job.steps.values()):
                 self.job_to(job=job, state=DONE, stamp=stamp)
             else:
                 self.open_steps(job=job, stamp=stamp)
 
     def task_bad(self, *, job, task, worker, stamp, why):
-        """A failure of the task itself. The last one allowed ends the job."""
-        s = job.steps[task.step].spec
+        """Counts a failure of a task and retries it after its backoff; the last one allowed fails the job."""
+        spec = job.steps[task.step].spec
         task.fails += 1
         task.bad = (task.bad + [worker])[-3:]
         if job.state != OPEN:
             self.task_to(task=task, state=STOPPED, stamp=stamp)
-        elif task.fails >= s["maxFailures"] and not s.get("forever"):
+        elif task.fails >= spec["maxFailures"] and not spec.get("forever"):
             self.task_to(task=task, state=FAILED, stamp=stamp)
             self.wind_up(
                 job=job, goal=FAILED, stamp=stamp, why=f"{task.id} failed {task.fails} times, last: {why}"
             )
         else:
-            task.due = (stamp >> constants.LOGICAL_BITS) + s["backoffMs"] * (1 << min(task.fails - 1, 6))
+            task.due = (stamp >> constants.LOGICAL_BITS) + spec["backoffMs"] * (1 << min(task.fails - 1, 6))
             self.task_to(task=task, state=READY, stamp=stamp)
 
     def settle(self, job, *, stamp):
+        """Ends an ending job once its last attempt has ended."""
         if job.state == ENDING and job.live == 0:
             self.job_to(job=job, state=job.goal, stamp=stamp)
 
     def ev_forget(self, stamp):
-        """Jobs that ended long enough ago leave their name and end only."""
-        now, n = stamp >> constants.LOGICAL_BITS, 0
+        """Removes jobs that ended long enough ago; their name, digest and final state are kept for longer."""
+        now, forgotten = stamp >> constants.LOGICAL_BITS, 0
         while self.ended and (self.ended[0][0] >> constants.LOGICAL_BITS) + self.rule["readable_ms"] < now:
             _, name = self.ended.popleft()
-            j = self.jobs.pop(name)
-            self.touch(j)
-            self.weight -= weight_of(j.spec)
-            self.names[name] = [stamp, j.digest, j.state]
-            n += 1
+            job = self.jobs.pop(name)
+            self.touch(job)
+            self.weight -= weight_of(job.spec)
+            self.names[name] = [stamp, job.digest, job.state]
+            forgotten += 1
         while self.names:
             name = next(iter(self.names))
-            old = (self.names[name][0] >> constants.LOGICAL_BITS) + self.rule["names_ms"] < now
-            if not old and len(self.names) <= self.rule["names_max"]:
+            expired = (self.names[name][0] >> constants.LOGICAL_BITS) + self.rule["names_ms"] < now
+            if not expired and len(self.names) <= self.rule["names_max"]:
                 break
             del self.names[name]
         if self.reservations:
             self.forget_reservations(now=now)
-        return ["ok", n]
+        return ["ok", forgotten]
--- a/hollowhall/record/legs.py
+++ b/hollowhall/record/legs.py
@@ -1,59 +1,63 @@
-"""Workers and legs in the record. A grant is looked at against every rule when it
-is applied: the job open, the task ready and due, the worker up and of the right
-kind, zone and rack, room and spread and the lane's limit kept. Room counts from
-the grant until the end of the leg is known."""
+"""Workers and attempts in the record. A grant is checked against every rule when it is
+applied: the job is open, the task is ready and due, the worker is up and of the right kind,
+zone and rack, and its resources, the step's spread and the queue's limit are kept. An attempt
+counts against them from its grant until its end is known."""
 
 from ..base import constants
 from .gangs import GangsMixin
 from .kinds import DONE, LEAVES, LOST, OPEN, READY, RUNNING, STOPPED, UP, Worker
 
 
-class LegsMixin(GangsMixin):
-    bits = constants.LOGICAL_BITS
+class AttemptsMixin(GangsMixin):
+    """The part of the record that holds workers, and starts and ends attempts."""
+
+    logical_bits = constants.LOGICAL_BITS
 
     def take_room(self, *, attempt, sign):
-        """Counts a leg in (1) or out (-1), everywhere that legs are counted."""
-        w, s = self.workers[attempt.worker], self.jobs[attempt.job].steps[attempt.step]
+        """Adds an attempt (1) to every count of running attempts and used resources, or removes it (-1)."""
+        worker, step = self.workers[attempt.worker], self.jobs[attempt.job].steps[attempt.step]
         for i in range(3):
-            w.used[i] += sign * attempt.room[i]
+            worker.used[i] += sign * attempt.room[i]
         self.count_in_queue(attempt=attempt, sign=sign)
         self.count_in_tenant(attempt=attempt, sign=sign)
-        for d, a in ((s.on, w.id), (s.racks, w.rack)):
-            d[a] = d.get(a, 0) + sign
-            if not d[a]:
-                del d[a]
+        for counts, key in ((step.on, worker.id), (step.racks, worker.rack)):
+            counts[key] = counts.get(key, 0) + sign
+            if not counts[key]:
+                del counts[key]
         if sign > 0:
-            w.runs[attempt.run] = attempt
+            worker.runs[attempt.run] = attempt
         else:
-            w.runs.pop(attempt.run, None)
+            worker.runs.pop(attempt.run, None)
 
     def count_in_queue(self, *, attempt, sign):
-        """Counts a leg into what its queue runs and uses (1), or out of it (-1)."""
-        u = self.lane_used.setdefault(attempt.lane, [0, 0, 0])
+        """Adds an attempt (1) to what its queue runs and uses, or removes it (-1)."""
+        used = self.lane_used.setdefault(attempt.lane, [0, 0, 0])
         for i in range(3):
-            u[i] += sign * attempt.room[i]
+            used[i] += sign * attempt.room[i]
         self.lane_run[attempt.lane] = self.lane_run.get(attempt.lane, 0) + sign
 
     def unfit(self, task, worker, *, now):
-        """Why task t may not start on worker w at `now` ms; '' if it may."""
-        j = self.jobs[task.job]
-        s = j.steps[task.step]
-        sp, row = s.spec, self.charter["rows"].get(j.lane)
-        if j.state != OPEN or task.state != READY:
+        """Why a task may not start on a worker at `now` ms; empty if it may."""
+        job = self.jobs[task.job]
+        step = job.steps[task.step]
+        spec, row = step.spec, self.charter["rows"].get(job.lane)
+        if job.state != OPEN or task.state != READY:
             return "state"
         if now < task.due:
             return "due"
         if row is None:
             return "lane"
-        if row["limit"] and self.lane_run.get(j.lane, 0) >= row["limit"]:
+        if row["limit"] and self.lane_run.get(job.lane, 0) >= row["limit"]:
             return "limit"
-        return self.unfit_worker(step=s, spec=sp, worker=worker, now=now, lane=j.lane)
+        return self.unfit_worker(step=step, spec=spec, worker=worker, now=now, lane=job.lane)
 
     def kind_of(self, *, lane, spec):
-        """The kind of worker a step runs on: the lane's, where its row names one."""
+        """The kind of worker that a step runs on: that of its queue, if the queue's row names one."""
         return self.charter["rows"].get(lane, {}).get("kind") or spec["kind"]
 
     def unfit_worker(self, *, step, spec, worker, now, lane=""):
+        """Why no task of a step may start on a worker at `now` ms; empty if one may. Leaves out the states
+        of job and task, and the limits of queue and tenant."""
         if worker.state != UP:
             return "worker"
         if worker.zone in self.evacuated:
@@ -70,81 +74,94 @@
             return "spread"
         return ""
 
-    def ev_grant(self, stamp, task, worker):
-        j = self.jobs.get(task.rsplit("/", 2)[0])
-        t = j.tasks.get(task) if j else None
-        w = self.workers.get(worker)
-        if t is None or w is None:
+    def ev_grant(self, stamp, task_id, worker_id):
+        """Starts a ready task, not of a gang, on a worker."""
+        job = self.jobs.get(task_id.rsplit("/", 2)[0])
+        task = job.tasks.get(task_id) if job else None
+        worker = self.workers.get(worker_id)
+        if task is None or worker is None:
             return ["no", "gone"]
-        spec = j.steps[t.step].spec
-        why = self.unfit(t, w, now=stamp >> constants.LOGICAL_BITS) or ("gang" if spec.get("gang") else "")
-        why = why or self.tenant_refusal(job=j, room=spec["room"])
+        spec = job.steps[task.step].spec
+        why = self.unfit(task, worker, now=stamp >> constants.LOGICAL_BITS) or (
+            "gang" if spec.get("gang") else ""
+        )
+        why = why or self.tenant_refusal(job=job, room=spec["room"])
         if why:
             return ["no", why]
-        self.touch(j)
-        self.task_to(task=t, state=RUNNING, stamp=stamp)
-        self.add_attempt(stamp=stamp, job=j, task=t, worker=w, no=t.starts + 1 if self.level > 1 else 0)
+        self.touch(job)
+        self.task_to(task=task, state=RUNNING, stamp=stamp)
+        self.add_attempt(
+            stamp=stamp, job=job, task=task, worker=worker, no=task.starts + 1 if self.level > 1 else 0
+        )
         return ["ok", stamp]
 
     def ev_end(self, stamp, run, how, why, saved=""):
-        """The end of a leg: ok, bad, stopped or lost (or, at level 2, alone, broken,
-        refused). Known once, by its run. `saved` is the checkpoint it left."""
-        g = self.legs.pop(run, None)
-        if g is None:
+        """Ends an attempt, once, by its run. how: ok, bad, stopped or lost (from level 2 on also
+        alone, broken or refused). saved: the checkpoint that it left."""
+        attempt = self.legs.pop(run, None)
+        if attempt is None:
             return ["late", run]
-        self.take_room(attempt=g, sign=-1)
-        j = self.jobs[g.job]
-        self.touch(j)
-        t = j.tasks[g.task]
-        j.live, t.live = j.live - 1, t.live - 1
-        t.saved = saved or t.saved
-        sp = j.steps[g.step].spec
-        bad = how == "bad" or how == "stopped" and g.stop == "limit"
-        if sp.get("gang"):
+        self.take_room(attempt=attempt, sign=-1)
+        job = self.jobs[attempt.job]
+        self.touch(job)
+        task = job.tasks[attempt.task]
+        job.live, task.live = job.live - 1, task.live - 1
+        task.saved = saved or task.saved
+        spec = job.steps[attempt.step].spec
+        failed = how == "bad" or how == "stopped" and attempt.stop == "limit"
+        if spec.get("gang"):
             self.gang_end(
-                job=j, attempt=g, task=t, stamp=stamp, how="bad" if bad else how, why=why, saved=saved
+                job=job,
+                attempt=attempt,
+                task=task,
+                stamp=stamp,
+                how="bad" if failed else how,
+                why=why,
+                saved=saved,
             )
-        elif t.state != RUNNING:
-            pass  # a copy ended well before this one
-        elif how == "ok" and not sp.get("forever"):
-            self.task_done(job=j, task=t, stamp=stamp)
-            self.copy_end(job=j, attempt=g, task=t, stamp=stamp, how=how)
-        elif bad and (t.live == 0 or t.fails + 1 >= sp["maxFailures"]):
-            self.task_bad(job=j, task=t, worker=g.worker, stamp=stamp, why=why)
-        elif t.live:
-            t.fails += bad
-        elif j.state == OPEN:
-            self.task_to(task=t, state=READY, stamp=stamp)
+        elif task.state != RUNNING:
+            pass  # a copy succeeded before
+        elif how == "ok" and not spec.get("forever"):
+            self.task_done(job=job, task=task, stamp=stamp)
+            self.copy_end(job=job, attempt=attempt, task=task, stamp=stamp, how=how)
+        elif failed and (task.live == 0 or task.fails + 1 >= spec["maxFailures"]):
+            self.task_bad(job=job, task=task, worker=attempt.worker, stamp=stamp, why=why)
+        elif task.live:
+            task.fails += failed
+        elif job.state == OPEN:
+            self.task_to(task=task, state=READY, stamp=stamp)
         else:
-            self.task_to(task=t, state=STOPPED, stamp=stamp)
-        self.settle(j, stamp=stamp)
+            self.task_to(task=task, state=STOPPED, stamp=stamp)
+        self.settle(job, stamp=stamp)
         return ["ok", run]
 
     def ev_stop(self, stamp, run, why):
-        g = self.legs.get(run)
-        if g is None:
+        """Marks an attempt as one to be stopped; the first reason is kept."""
+        attempt = self.legs.get(run)
+        if attempt is None:
             return ["late", run]
-        g.stop = g.stop or why
+        attempt.stop = attempt.stop or why
         return ["ok", run]
 
-    def ev_worker(self, stamp, id, boot, kind, zone, rack, room, keeps=True, labels=()):
-        """A worker announces itself. A new boot means its old legs have stopped; a
-        boot that has left stays left, however often it announces itself."""
-        w = self.workers.get(id)
-        if w is not None and w.boot == boot:
-            return ["same", w.state]
-        past, left = (w.past, "") if w is not None else self.gone.pop(id, ([], ""))
+    def ev_worker(self, stamp, worker_id, boot, kind, zone, rack, room, keeps=True, labels=()):
+        """Registers a worker. A new boot id means that the attempts of the old one have stopped. A
+        boot that was asked to leave stays leaving, and an earlier boot stays refused, however often
+        it registers."""
+        known = self.workers.get(worker_id)
+        if known is not None and known.boot == boot:
+            return ["same", known.state]
+        past, left = (known.past, "") if known is not None else self.gone.pop(worker_id, ([], ""))
         if boot in past:
-            if w is None:
-                self.gone[id] = (past, left)
-            return ["old", w.boot if w is not None else ""]
-        if w is not None:
-            self.end_all(w, stamp=stamp)
-            past = (past + [w.boot])[-self.rule["boots_kept"] :]
+            if known is None:
+                self.gone[worker_id] = (past, left)
+            return ["old", known.boot if known is not None else ""]
+        if known is not None:
+            self.end_attempts(known, stamp=stamp)
+            past = (past + [known.boot])[-self.rule["boots_kept"] :]
         state = LEAVES if boot == left else UP
         self.fleet += 1
-        self.workers[id] = Worker(
-            id=id,
+        self.workers[worker_id] = Worker(
+            id=worker_id,
             boot=boot,
             kind=kind,
             zone=zone,
@@ -158,88 +175,94 @@
         )
         return ["ok", state]
 
-    def end_all(self, worker, *, stamp, saved=None):
+    def end_attempts(self, worker, *, stamp, saved=None):
+        """Ends all attempts of a worker as lost. saved: their checkpoints by run."""
         for run in sorted(worker.runs):
             self.ev_end(stamp, run, "lost", "worker lost", (saved or {}).get(run, ""))
 
     def restarts(self, *, worker, attempt):
-        """Whether a lost worker's leg has certainly stopped, or may run twice."""
+        """Whether an attempt of a lost worker may be started again: it has certainly stopped, or its step
+        allows it to run twice."""
         how = self.jobs[attempt.job].steps[attempt.step].spec.get("ifLost", "auto")
         return how == "restart" or how == "auto" and worker.keeps
 
-    def ev_leave(self, stamp, id, boot):
-        w = self.workers.get(id)
-        if w is None or boot and w.boot != boot:
+    def ev_leave(self, stamp, worker_id, boot):
+        """Marks a worker as leaving: it is given no new tasks. An empty boot means any."""
+        worker = self.workers.get(worker_id)
+        if worker is None or boot and worker.boot != boot:
             return ["none", ""]
-        if w.state == LOST:
-            w.was = LEAVES
+        if worker.state == LOST:
+            worker.was = LEAVES
         else:
-            w.state = LEAVES
+            worker.state = LEAVES
         return ["ok", LEAVES]
 
-    def ev_lost(self, stamp, id, boot, saved=None):
-        """The worker was not heard for its whole hold. Legs that have certainly stopped
-        end; those that may yet run stay, and the worker with them, as lost. `saved` has
-        the checkpoints it had told of, by run."""
-        w = self.workers.get(id)
-        if w is None or w.boot != boot or w.state == LOST:
+    def ev_lost(self, stamp, worker_id, boot, saved=None):
+        """Marks a worker as lost: it was not heard for its whole lease. Attempts that may be started
+        again end; the others may still be running and stay, and the worker with them. saved: the
+        checkpoints that it had reported, by run."""
+        worker = self.workers.get(worker_id)
+        if worker is None or worker.boot != boot or worker.state == LOST:
             return ["none", ""]
         if not self.rule["lost_waits"]:
-            self.end_all(w, stamp=stamp)
-        for run in sorted(w.runs):
-            if self.restarts(worker=w, attempt=w.runs[run]):
+            self.end_attempts(worker, stamp=stamp)
+        for run in sorted(worker.runs):
+            if self.restarts(worker=worker, attempt=worker.runs[run]):
                 self.ev_end(stamp, run, "lost", "worker lost", (saved or {}).get(run, ""))
-        if w.runs:
-            w.state, w.was = LOST, w.state
-            return ["waits", len(w.runs)]
-        self.drop_worker(w, left=boot if w.state == LEAVES else "")
+        if worker.runs:
+            worker.state, worker.was = LOST, worker.state
+            return ["waits", len(worker.runs)]
+        self.drop_worker(worker, left=boot if worker.state == LEAVES else "")
         return ["ok", ""]
 
     def drop_worker(self, worker, *, left):
+        """Removes a worker and remembers its boots; left: its boot, if that was leaving."""
         del self.workers[worker.id]
         self.fleet += 1
         self.gone[worker.id] = (worker.past, left)
         while len(self.gone) > self.rule["gone_kept"]:
             del self.gone[next(iter(self.gone))]
 
-    def ev_back(self, stamp, id, boot):
-        """A lost worker is heard again under its boot: its legs go on."""
-        w = self.workers.get(id)
-        if w is None or w.boot != boot or w.state != LOST:
+    def ev_back(self, stamp, worker_id, boot):
+        """Restores a lost worker that is heard again under the same boot: its attempts go on."""
+        worker = self.workers.get(worker_id)
+        if worker is None or worker.boot != boot or worker.state != LOST:
             return ["none", ""]
-        w.state, w.was = w.was, ""
-        return ["ok", w.state]
+        worker.state, worker.was = worker.was, ""
+        return ["ok", worker.state]
 
-    def ev_keeps(self, stamp, id, boot, keeps):
-        """What a worker says now of its hold: it was taken in under an older format."""
-        w = self.workers.get(id)
-        if w is None or w.boot != boot:
+    def ev_keeps(self, stamp, worker_id, boot, keeps):
+        """Records whether a worker stops its tasks when its lease expires, for one that registered under a
+        format that did not ask."""
+        worker = self.workers.get(worker_id)
+        if worker is None or worker.boot != boot:
             return ["none", ""]
-        w.keeps = keeps
+        worker.keeps = keeps
         return ["ok", keeps]
 
-    def ev_gone(self, stamp, id, boot):
-        """An operator's word that a lost worker runs nothing any more. Its boot is
-        known as past from here on, whatever it may still say."""
-        w = self.workers.get(id)
-        if w is None or boot and w.boot != boot:
+    def ev_gone(self, stamp, worker_id, boot):
+        """Removes a lost worker: an operator confirms that nothing runs on it any more. Its boot is
+        refused from here on, even if it registers again. An empty boot means any."""
+        worker = self.workers.get(worker_id)
+        if worker is None or boot and worker.boot != boot:
             return ["none", ""]
-        if w.state != LOST:
-            return ["no", w.state]
-        self.end_all(w, stamp=stamp)
-        w.past = (w.past + [w.boot])[-self.rule["boots_kept"] :]
-        self.drop_worker(w, left="")
+        if worker.state != LOST:
+            return ["no", worker.state]
+        self.end_attempts(worker, stamp=stamp)
+        worker.past = (worker.past + [worker.boot])[-self.rule["boots_kept"] :]
+        self.drop_worker(worker, left="")
         return ["ok", ""]
 
-    def ev_flaky(self, stamp, id, until):
-        w = self.workers.get(id)
-        if w is not None:
-            w.flaky = until
+    def ev_flaky(self, stamp, worker_id, until):
+        """Puts a worker on probation until that many ms of stamped time."""
+        worker = self.workers.get(worker_id)
+        if worker is not None:
+            worker.flaky = until
         return ["ok", until]
 
 
 def suits(*, spec, worker, kind=None):
-    """Kind, label, zone and rack, and whether the room would do if the worker were empty."""
+    """Whether a worker, if it were empty, fits a step: its kind, label, zone, rack and resources."""
     return (
         (kind or spec["kind"]) == worker.kind
         and (not spec.get("label") or spec["label"] in worker.labels)
@@ -249,4 +272,4 @@
     )
 
 
-__all__ = ["LegsMixin", "suits", "DONE"]
+__all__ = ["AttemptsMixin", "suits", "DONE"]
--- a/hollowhall/record/reservation_bodies.py
+++ b/hollowhall/record/reservation_bodies.py
@@ -1,4 +1,4 @@
-"""A reservation's body, and what a change may make less of it, checked by marshmallow."""
+"""Validation of reservation bodies, and of changes that reduce a reservation, with marshmallow."""
 
 import hashlib
 
@@ -15,6 +15,8 @@
 
 
 class ReservationSchema(Schema):
+    """A reservation as it is requested."""
+
     kind = fields.Str(required=True, validate=NAME)
     count = fields.Int(strict=True, required=True, validate=COUNT)
     room = fields.Nested(RoomSchema, required=True)
@@ -26,6 +28,8 @@
 
 
 class ShorterSchema(Schema):
+    """A change that ends a reservation earlier or lowers its count."""
+
     count = fields.Int(strict=True, validate=COUNT)
     untilMs = fields.Int(strict=True, validate=MS)
 
@@ -34,29 +38,33 @@
 
 
 def check_reservation(body):
-    """(spec, digest) of a reservation's body; raises Raised(BadInput) with every bad field.
+    """(spec, digest) of a reservation's body; raises Raised(BadInput) with every invalid field.
     spec: kind, zone, label, lanes, room [cores, memMb, gpus], count, fromMs, untilMs."""
     try:
-        d = RESERVATION.load(body)
-    except ValidationError as e:
-        raise Raised(BadInput(errors=flat(e=e.messages))) from None
-    r, bad = d["room"], []
-    d["room"], d["lanes"] = [r["cores"], r["memMb"], r["gpus"]], sorted(set(d["lanes"]))
-    if not any(d["room"]):
-        bad.append(["room", "an empty room needs no reservation"])
-    if d["untilMs"] <= d["fromMs"]:
-        bad.append(["untilMs", "not after fromMs"])
-    if bad:
-        raise Raised(BadInput(errors=bad))
-    b = ormsgpack.packb(d, option=ormsgpack.OPT_SORT_KEYS)
-    return d, hashlib.sha256(b).hexdigest()[:32]
+        reservation = RESERVATION.load(body)
+    except ValidationError as error:
+        raise Raised(BadInput(errors=flat(e=error.messages))) from None
+    room, errors = reservation["room"], []
+    reservation["room"], reservation["lanes"] = (
+        [room["cores"], room["memMb"], room["gpus"]],
+        sorted(set(reservation["lanes"])),
+    )
+    if not any(reservation["room"]):
+        errors.append(["room", "an empty room needs no reservation"])
+    if reservation["untilMs"] <= reservation["fromMs"]:
+        errors.append(["untilMs", "not after fromMs"])
+    if errors:
+        raise Raised(BadInput(errors=errors))
+    packed = ormsgpack.packb(reservation, option=ormsgpack.OPT_SORT_KEYS)
+    return reservation, hashlib.sha256(packed).hexdigest()[:32]
 
 
 def check_shorter(body):
+    """The fields of a change that reduces a reservation; raises Raised(BadInput)."""
     try:
-        d = SHORTER.load(body)
-    except ValidationError as e:
-        raise Raised(BadInput(errors=flat(e=e.messages))) from None
-    if not d:
+        change = SHORTER.load(body)
+    except ValidationError as error:
+        raise Raised(BadInput(errors=flat(e=error.messages))) from None
+    if not change:
         raise Raised(BadInput(errors=[["untilMs", "untilMs or count is wanted"]]))
-    return d
+    return change
--- a/hollowhall/record/reservations.py
+++ b/hollowhall/record/reservations.py
@@ -1,9 +1,9 @@
-"""Reservations in the record: room on a kind of worker, as a shape times a count, for a
-window of stamped time and for some lanes. All is judged when the entry is applied: a
-reservation is confirmed if, beside all confirmed before it, the kind's well workers could
-hold it whole at every moment of its window, and the sum of what overlaps stays within a
-share of the kind's room. Which workers serve it is the primary's plan (desk/reserving.py).
-`reservation_to` is the only place where a reservation's state changes."""
+"""Reservations in the record: resources on a kind of worker, as a shape times a count, for a
+window of stamped time and for some queues. A request is decided when its entry is applied: it is
+confirmed if the available workers of its kind can hold it, beside all reservations confirmed
+before it, at every moment of its window, and if all reservations that overlap stay within a
+share of the kind's resources. The primary plans which workers serve it (desk/reserving.py).
+Only `reservation_to` changes the state of a reservation."""
 
 from dataclasses import asdict, dataclass
 
@@ -15,6 +15,8 @@
 
 @dataclass(kw_only=True, slots=True)
 class Reservation:
+    """A reservation that is not forgotten yet."""
+
     id: str
     digest: str
     stamp: int
@@ -22,15 +24,15 @@
     zone: str
     label: str
     lanes: list
-    room: list  # cores, mem, gpus of one of `count`
+    room: list  # [cores, memMb, gpus] of each of `count`
     count: int
     begin: int  # ms of stamped time
-    until: int  # ms; the first moment after it
+    until: int  # ms; the first moment after the window
     state: str = CONFIRMED
     ended: int = 0  # ms; when it was released
 
     def wants(self, worker):
-        """Whether worker w is of those it may be served by."""
+        """Whether the reservation may be served by a worker, by its kind, zone and label."""
         return (
             worker.kind == self.kind
             and self.zone in ("", worker.zone)
@@ -38,174 +40,223 @@
         )
 
     def phase(self, now):
-        """waiting, open or over, by stamped time; or released."""
+        """released, or else waiting, open or over at `now` ms of stamped time."""
         if self.state == RELEASED:
             return RELEASED
         return "waiting" if now < self.begin else "open" if now < self.until else "over"
 
 
 def slots(*, free, room):
-    """How many rooms of one shape a free room holds."""
-    return max(0, min(free[i] // room[i] for i in range(3) if room[i]))
+    """How many tasks with resources `room` fit into the free resources; at least one of room is not 0."""
+    return max(0, min(free[resource] // room[resource] for resource in range(3) if room[resource]))
 
 
 def peak(*, taken, begin, until):
-    """The most that is taken at one moment of a window, each of cores, mem, gpus by itself;
-    taken: [(begin, until, room)]."""
-    xs = [x for x in taken if x[0] < until and begin < x[1]]
-    if not xs:
+    """The most of each resource, [cores, memMb, gpus], that is taken at any moment of a window;
+    taken: [(begin, until, room)]. The maxima may be at different moments."""
+    overlapping = [use for use in taken if use[0] < until and begin < use[1]]
+    if not overlapping:
         return [0, 0, 0]
-    if len(xs) == 1 or max(x[0] for x in xs) < min(x[1] for x in xs):  # all at one moment
-        return [sum(x[2][i] for x in xs) for i in range(3)]
-    out = [0, 0, 0]
-    for t in {begin, *(x[0] for x in xs if x[0] > begin)}:
-        for i in range(3):
-            out[i] = max(out[i], sum(x[2][i] for x in xs if x[0] <= t < x[1]))
-    return out
+    if len(overlapping) == 1 or max(use[0] for use in overlapping) < min(
+        use[1] for use in overlapping
+    ):  # all overlap at one moment
+        return [sum(use[2][resource] for use in overlapping) for resource in range(3)]
+    most = [0, 0, 0]
+    for moment in {begin, *(use[0] for use in overlapping if use[0] > begin)}:
+        for resource in range(3):
+            most[resource] = max(
+                most[resource], sum(use[2][resource] for use in overlapping if use[0] <= moment < use[1])
+            )
+    return most
 
 
 def fill(*, r, workers, taken, most=None):
-    """Maps r onto workers in their order, {worker: how many}, and counts that into
-    taken, {worker: [(begin, until, room)]}. most: {worker: how many at most there}."""
-    out, left = {}, r.count
-    for w in workers:
+    """Assigns as much of reservation r as fits to workers, in their order, and adds it to
+    taken, {worker: [(begin, until, room)]}. Gives {worker: count}; most: {worker: highest count}."""
+    assigned, left = {}, r.count
+    for worker in workers:
         if left == 0:
             break
-        have = taken.get(w.id)
-        top = peak(taken=have, begin=r.begin, until=r.until) if have else (0, 0, 0)
-        n = min(left, slots(free=[w.room[i] - top[i] for i in range(3)], room=r.room))
-        n = n if most is None else min(n, most.get(w.id, 0))
-        if n:
-            taken.setdefault(w.id, []).append((r.begin, r.until, [n * x for x in r.room]))
-            out[w.id], left = n, left - n
-    return out
+        in_use = taken.get(worker.id)
+        peak_use = peak(taken=in_use, begin=r.begin, until=r.until) if in_use else (0, 0, 0)
+        count = min(
+            left,
+            slots(free=[worker.room[resource] - peak_use[resource] for resource in range(3)], room=r.room),
+        )
+        count = count if most is None else min(count, most.get(worker.id, 0))
+        if count:
+            taken.setdefault(worker.id, []).append((r.begin, r.until, [count * amount for amount in r.room]))
+            assigned[worker.id], left = count, left - count
+    return assigned
 
 
 class ReservationsMixin:
+    """The part of the record that holds reservations."""
+
     def clear_reservations(self):
-        self.reservations = {}  # id: Reservation, in the order of their stamps
-        self.reserved_n = 0  # counts their changes; no part of a picture
+        self.reservations = {}  # by id, in the order of their stamps
+        self.reserved_n = 0  # counts their changes; not part of a snapshot
 
     def pack_reservations(self):
-        return {"reservations": [asdict(r) for r in self.reservations.values()]} if self.level > 2 else {}
+        return (
+            {"reservations": [asdict(reservation) for reservation in self.reservations.values()]}
+            if self.level > 2
+            else {}
+        )
 
-    def load_reservations(self, d):
-        self.reservations = {x["id"]: Reservation(**x) for x in d.get("reservations", ())}
+    def load_reservations(self, snapshot):
+        self.reservations = {
+            fields["id"]: Reservation(**fields) for fields in snapshot.get("reservations", ())
+        }
         self.reserved_n += 1
 
-    def reservation_to(self, *, r, state, now):
-        assert r.state == CONFIRMED and state == RELEASED, (r.id, r.state, state)
-        r.state, r.ended = state, now
+    def reservation_to(self, *, reservation, state, now):
+        """Changes a reservation's state; asserts that the transition is allowed."""
+        assert reservation.state == CONFIRMED and state == RELEASED, (
+            reservation.id,
+            reservation.state,
+            state,
+        )
+        reservation.state, reservation.ended = state, now
         self.reserved_n += 1
 
     def reserved(self, *, now, kind=""):
-        """Confirmed ones that are not over, the first confirmed first."""
+        """Confirmed reservations (of a kind) that are not over, in the order of confirmation."""
         return [
-            r
-            for r in self.reservations.values()
-            if r.state == CONFIRMED and now < r.until and kind in ("", r.kind)
+            reservation
+            for reservation in self.reservations.values()
+            if reservation.state == CONFIRMED and now < reservation.until and kind in ("", reservation.kind)
         ]
 
     def well(self, worker):
+        """Whether a worker counts for reservations: it is up and its zone is not evacuated."""
         return worker.state == UP and worker.zone not in self.evacuated
 
-    def refusal_of(self, r, *, now, percent):
-        """(why r is not confirmed at `now` ms, how many of it could be); ('', _) if it is."""
+    def refusal_of(self, reservation, *, now, percent):
+        """(why a reservation is not confirmed at `now` ms, the highest count that could be); the reason
+        is empty if it is confirmed. percent: the share of the kind's resources that may be reserved."""
         rule = self.rule
-        if now >= r.until or r.begin < now - rule["reserve_late_ms"]:
+        if now >= reservation.until or reservation.begin < now - rule["reserve_late_ms"]:
             return "past", 0
-        if r.begin > now + rule["reserve_far_ms"] or r.until - r.begin > rule["reserve_long_ms"]:
+        if (
+            reservation.begin > now + rule["reserve_far_ms"]
+            or reservation.until - reservation.begin > rule["reserve_long_ms"]
+        ):
             return "far", 0
-        if any(a not in self.charter["rows"] for a in r.lanes):
+        if any(lane not in self.charter["rows"] for lane in reservation.lanes):
             return "lane", 0
         if (
             len(self.reservations) >= rule["reservations_kept"]
             or len(self.reserved(now=now)) >= rule["reservations_max"]
         ):
             return "many", 0
-        kind = [w for _, w in sorted(self.workers.items()) if w.kind == r.kind and self.well(w)]
-        ws = [w for w in kind if r.wants(w)]
-        if not ws:
+        of_kind = [
+            worker
+            for _, worker in sorted(self.workers.items())
+            if worker.kind == reservation.kind and self.well(worker)
+        ]
+        candidates = [worker for worker in of_kind if reservation.wants(worker)]
+        if not candidates:
             return "kind", 0
-        if all(slots(free=w.room, room=r.room) == 0 for w in ws):
+        if all(slots(free=worker.room, room=reservation.room) == 0 for worker in candidates):
             return "room", 0
-        taken, have = {}, self.beside(r, now=now)
-        for x in have:
-            fill(r=x, workers=[w for w in kind if x.wants(w)], taken=taken)
-        fits = sum(fill(r=r, workers=ws, taken=taken).values())
-        most = [sum(w.room[i] for w in kind) * percent // 100 for i in range(3)]
-        top = peak(
-            begin=r.begin,
-            until=r.until,
-            taken=[(x.begin, x.until, [x.count * y for y in x.room]) for x in have],
+        taken, others = {}, self.beside(reservation, now=now)
+        for other in others:
+            fill(r=other, workers=[worker for worker in of_kind if other.wants(worker)], taken=taken)
+        fits = sum(fill(r=reservation, workers=candidates, taken=taken).values())
+        most = [sum(worker.room[resource] for worker in of_kind) * percent // 100 for resource in range(3)]
+        peak_use = peak(
+            begin=reservation.begin,
+            until=reservation.until,
+            taken=[
+                (other.begin, other.until, [other.count * amount for amount in other.room])
+                for other in others
+            ],
+        )
+        fits = min(
+            fits,
+            slots(free=[most[resource] - peak_use[resource] for resource in range(3)], room=reservation.room),
         )
-        fits = min(fits, slots(free=[most[i] - top[i] for i in range(3)], room=r.room))
-        return ("", fits) if fits >= r.count else ("capacity", fits)
+        return ("", fits) if fits >= reservation.count else ("capacity", fits)
 
-    def beside(self, r, *, now):
-        """Those of r's kind that overlap it, that overlap those, and so on: of no other
-        does it matter which workers it is mapped onto."""
-        left, out, begin, until = self.reserved(now=now, kind=r.kind), [], r.begin, r.until
+    def beside(self, reservation, *, now):
+        """The reservations of the same kind that overlap this one, that overlap those, and so on.
+        The workers that any other one is assigned to make no difference to it."""
+        remaining, found, begin, until = (
+            self.reserved(now=now, kind=reservation.kind),
+            [],
+            reservation.begin,
+            reservation.until,
+        )
         while True:
-            near = [x for x in left if x.begin < until and begin < x.until]
-            if not near:
-                return sorted(out, key=lambda x: x.stamp)
-            out += near
-            left = [x for x in left if x not in near]
-            begin, until = min(begin, *(x.begin for x in near)), max(until, *(x.until for x in near))
-
-    def ev_reserve(self, stamp, id, spec, digest, percent):
-        """A reservation wanted. The same id and digest again is the same reservation.
-        percent: of a kind's room that all reservations together may take."""
-        r, now = self.reservations.get(id), stamp >> constants.LOGICAL_BITS
+            overlapping = [other for other in remaining if other.begin < until and begin < other.until]
+            if not overlapping:
+                return sorted(found, key=lambda other: other.stamp)
+            found += overlapping
+            remaining = [other for other in remaining if other not in overlapping]
+            begin, until = (
+                min(begin, *(other.begin for other in overlapping)),
+                max(until, *(other.until for other in overlapping)),
+            )
+
+    def ev_reserve(self, stamp, name, spec, digest, percent):
+        """Confirms or refuses a reservation. The same name and digest again is the same reservation.
+        percent: the share of a kind's resources that all reservations together may take."""
+        reservation, now = self.reservations.get(name), stamp >> constants.LOGICAL_BITS
         if self.level < 3:
             return ["no", "level", 0]
-        if r is not None:
-            return ["same" if r.digest == digest else "other", r.state]
-        r = Reservation(
-            id=id,
+        if reservation is not None:
+            return ["same" if reservation.digest == digest else "other", reservation.state]
+        reservation = Reservation(
+            id=name,
             digest=digest,
             stamp=stamp,
             begin=spec["fromMs"],
             until=spec["untilMs"],
-            **{a: spec[a] for a in ("kind", "zone", "label", "lanes", "room", "count")},
+            **{field: spec[field] for field in ("kind", "zone", "label", "lanes", "room", "count")},
         )
-        why, fits = self.refusal_of(r, now=now, percent=percent)
+        why, fits = self.refusal_of(reservation, now=now, percent=percent)
         if why:
             return ["no", why, fits]
-        self.reservations[id] = r
+        self.reservations[name] = reservation
         self.reserved_n += 1
-        return ["new", r.state]
+        return ["new", reservation.state]
 
-    def ev_release(self, stamp, id):
-        r = self.reservations.get(id)
-        if r is None:
+    def ev_release(self, stamp, name):
+        """Releases a reservation; one that is released already stays so."""
+        reservation = self.reservations.get(name)
+        if reservation is None:
             return ["none", ""]
-        if r.state == CONFIRMED:
-            self.reservation_to(r=r, state=RELEASED, now=stamp >> constants.LOGICAL_BITS)
-        return ["ok", r.state]
-
-    def ev_shorten(self, stamp, id, until, count):
-        """Less of a reservation: an earlier end, a smaller count; None leaves either."""
-        r, now = self.reservations.get(id), stamp >> constants.LOGICAL_BITS
-        if r is None:
+        if reservation.state == CONFIRMED:
+            self.reservation_to(reservation=reservation, state=RELEASED, now=stamp >> constants.LOGICAL_BITS)
+        return ["ok", reservation.state]
+
+    def ev_shorten(self, stamp, name, until, count):
+        """Reduces a reservation to an earlier end or a lower count; None keeps either."""
+        reservation, now = self.reservations.get(name), stamp >> constants.LOGICAL_BITS
+        if reservation is None:
             return ["none", ""]
-        until, count = until or r.until, count or r.count
-        if r.phase(now) not in ("waiting", "open"):
+        until, count = until or reservation.until, count or reservation.count
+        if reservation.phase(now) not in ("waiting", "open"):
             return ["no", "over", 0]
-        if until > r.until or count > r.count or until <= r.begin:
-            return ["no", "larger" if until > r.begin else "window", 0]
-        r.until, r.count = until, count
+        if until > reservation.until or count > reservation.count or until <= reservation.begin:
+            return ["no", "larger" if until > reservation.begin else "window", 0]
+        reservation.until, reservation.count = until, count
         self.reserved_n += 1
-        return ["ok", r.state]
+        return ["ok", reservation.state]
 
     def old_reservations(self, *, now):
-        """Those that are to be forgotten: over for long enough. A released one is kept until
-        its window is over, too, for a late resend must not confirm it anew."""
+        """Ids of the reservations to forget, which ended long enough ago. A released one is also kept
+        until its window is over, so that a late resend of the request does not confirm it again."""
         kept = self.rule.get("reservation_kept_ms", 0)
-        return [r.id for r in self.reservations.values() if max(r.until, r.ended) + kept < now]
+        return [
+            reservation.id
+            for reservation in self.reservations.values()
+            if max(reservation.until, reservation.ended) + kept < now
+        ]
 
     def forget_reservations(self, *, now):
-        for i in self.old_reservations(now=now):
-            del self.reservations[i]
+        """Removes the reservations that ended long enough ago."""
+        for name in self.old_reservations(now=now):
+            del self.reservations[name]
             self.reserved_n += 1
--- a/hollowhall/record/tenant_bodies.py
+++ b/hollowhall/record/tenant_bodies.py
@@ -1,5 +1,5 @@
-"""Tenants as operators write them, checked by marshmallow: limits, weight and keys. Keys are texts
-or their digests; only digests are kept."""
+"""Validation of tenants as operators write them, with marshmallow: limits, weight and keys. A key is
+given as plain text or as a digest; only digests are kept."""
 
 import hashlib
 import re
@@ -16,8 +16,12 @@
 
 
 class TenantSchema(Schema):
-    weight = fields.Float(load_default=1.0, validate=RANGE(min=1e-6, max=1e9))  # share when all is full
-    cores = fields.Int(strict=True, load_default=0, validate=ROOM)  # running at once; 0: no limit
+    """A tenant: one row of the configuration. Its limits are totals of running tasks."""
+
+    weight = fields.Float(
+        load_default=1.0, validate=RANGE(min=1e-6, max=1e9)
+    )  # its share when resources are scarce
+    cores = fields.Int(strict=True, load_default=0, validate=ROOM)  # 0: no limit
     memMb = fields.Int(strict=True, load_default=0, validate=ROOM)
     gpus = fields.Int(strict=True, load_default=0, validate=ROOM)
     keys = fields.List(
@@ -32,35 +36,35 @@
 
 
 def key_digest(text):
-    """What is kept of a key, and what a presented one is compared by: SHA-256 as 64 hex digits."""
+    """SHA-256 of a key as 64 hex digits: stored in its place, and compared with that of a request's key."""
     return hashlib.sha256(text.encode("utf-8", "surrogatepass")).hexdigest()
 
 
 def kept_key(text):
-    """The digest of a key that is given as a text or as `sha256:` and a digest."""
+    """The digest of a key that is given as plain text or as `sha256:` and a digest."""
     given = DIGEST.match(text)
     return given[1] if given else key_digest(text)
 
 
 def check_tenants(tenants):
-    """Rows of tenants by name, None meaning 'drop', with keys as digests; raises Raised(BadInput) with
-    every bad field. Errors name fields and tenants, never a key."""
+    """Rows of tenants by name, with keys as digests; None removes a row. Raises Raised(BadInput) with
+    every invalid field; errors name fields and tenants, never a key."""
     if not isinstance(tenants, dict):
         raise Raised(BadInput(errors=[["tenants", "a mapping of name to row is wanted"]]))
     if len(tenants) > constants.TENANTS_MAX:
         raise Raised(BadInput(errors=[["tenants", f"more than {constants.TENANTS_MAX} tenants"]]))
-    out, bad = {}, []
+    checked, errors = {}, []
     for name, row in tenants.items():
         if not isinstance(name, str) or not 0 < len(name) <= constants.TENANT_NAME_MAX:
-            bad.append(["tenants", f"a name of 1 to {constants.TENANT_NAME_MAX} characters is wanted"])
+            errors.append(["tenants", f"a name of 1 to {constants.TENANT_NAME_MAX} characters is wanted"])
             continue
         try:
-            out[name] = None if row is None else tenant_row(row)
-        except ValidationError as e:
-            bad += [[f"tenants.{name}.{a}", m] for a, m in flat(e=e.messages)]
-    if bad:
-        raise Raised(BadInput(errors=bad))
-    return out
+            checked[name] = None if row is None else tenant_row(row)
+        except ValidationError as error:
+            errors += [[f"tenants.{name}.{field}", message] for field, message in flat(e=error.messages)]
+    if errors:
+        raise Raised(BadInput(errors=errors))
+    return checked
 
 
 def tenant_row(row):
