--- a/hollowhall/check/__init__.py
+++ b/hollowhall/check/__init__.py
@@ -1,1 +1,1 @@
-"""The history checker: judges what was seen from outside, and imports nothing of ours."""
+"""The history checker: judges what was observed from outside, and imports no code of the daemons."""
--- a/hollowhall/check/judge.py
+++ b/hollowhall/check/judge.py
@@ -1,28 +1,33 @@
-"""The history checker. It shares no code with the daemons and believes nobody: it
-judges only what requesters, workers and operators saw. Each rule is one "never" of
-the brief, with the brief's bound. docs/check.md lists them."""
+"""The history checker. It shares no code with the daemons and trusts none of their state: it
+judges only what callers, workers and operators observed. Each rule is one thing that the
+specification says must never happen, with its bound. docs/check.md lists the rules."""
 
 from dataclasses import dataclass
 
 from .jobs import JobRules
-from .lanes import LaneRules
+from .lanes import QueueRules
 from .reservations import ReservationRules
 from .workers import WorkerRules
 
 
 @dataclass(frozen=True, kw_only=True)
 class Violation:
+    """A rule that a history breaks: when, and what was observed."""
+
     rule: str
     t: float
     text: str
-    at: str = ""  # file and line of the row that shows it, where rows have such
+    at: str = ""  # file and line of the row that shows it, if rows have them
+
 
+class Checker(JobRules, WorkerRules, QueueRules, ReservationRules):
+    """Applies the rules to the rows of a history, in the order of their times. A row of event `x` is
+    passed to the method `see_x`; `end_` methods run after the last row."""
 
-class Checker(JobRules, WorkerRules, LaneRules, ReservationRules):
     def __init__(self, rows):
-        self.rows, self.bad = sorted(rows, key=lambda r: r["t"]), []
+        self.rows, self.violations = sorted(rows, key=lambda row: row["t"]), []
         self.row = {}
-        self.puts, self.cards, self.runs = {}, {}, {}
+        self.puts, self.workers, self.runs = {}, {}, {}
         self.seen = {
             "rows": len(rows),
             "puts": 0,
@@ -36,35 +41,36 @@
             "edits": 0,
         }
 
-    def flag(self, rule, t, text):
-        self.bad.append(Violation(rule=rule, t=t, text=text, at=self.row.get("_at", "")))
+    def flag(self, rule, time, text):
+        self.violations.append(Violation(rule=rule, t=time, text=text, at=self.row.get("_at", "")))
 
-    def see_unreadable(self, r):
-        self.flag("unreadable", r["t"], f"no row of a history: {r['line']!r}")
+    def see_unreadable(self, row):
+        self.flag("unreadable", row["t"], f"line is not a history row: {row['line']!r}")
 
     def judge(self):
-        for r in self.rows:
-            h = getattr(self, "see_" + r["ev"].replace(".", "_"), None)
-            self.row = r
+        """(violations by time, counts of what was seen)."""
+        for row in self.rows:
+            handler = getattr(self, "see_" + row["ev"].replace(".", "_"), None)
+            self.row = row
             if self.reserved:
-                self.look_at_served(r)
-            if h is not None:
+                self.check_served(row)
+            if handler is not None:
                 try:
-                    h(r)
-                except (KeyError, TypeError, ValueError, AttributeError, IndexError) as e:
-                    self.flag("unreadable", r["t"], f"a row of {r['ev']} that cannot be: {e!r}")
+                    handler(row)
+                except (KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
+                    self.flag("unreadable", row["t"], f"malformed row of event {row['ev']}: {error!r}")
         self.row = {}
         self.end_jobs()
-        self.end_lanes()
-        self.bad.sort(key=lambda b: b.t)
-        return self.bad, self.seen
+        self.end_queues()
+        self.violations.sort(key=lambda violation: violation.t)
+        return self.violations, self.seen
 
 
 def judge(rows):
-    """(violations, what was seen)."""
-    c = Checker(rows)
-    c.open_jobs()
-    c.open_workers()
-    c.open_lanes()
-    c.open_reservations()
-    return c.judge()
+    """(violations by time, counts of what was seen) for the rows of a history."""
+    checker = Checker(rows)
+    checker.open_jobs()
+    checker.open_workers()
+    checker.open_queues()
+    checker.open_reservations()
+    return checker.judge()
--- a/hollowhall/check/reservations.py
+++ b/hollowhall/check/reservations.py
@@ -1,171 +1,213 @@
-"""Rules about reservations: what is confirmed is never oversold, is not forgotten, and is
-served. Served: while a window is open, its workers are well and its lanes have tasks that
-wait, the lanes have as much of it as they want within a bounded time."""
+"""Rules about reservations: confirmed reservations do not exceed the resources, are not
+forgotten and are served. Served means that while the window is open, its workers are available
+and its queues have tasks that wait, the queues get what was reserved within a bounded time."""
 
-SERVED = 5000  # ms; from the window's opening, or from when the lanes want it
-UNWELL = 12_000  # ms; after the last trouble of any kind, until service is asked for again
-TROUBLE = ("fault", "lapse", "freeze", "thaw", "lone", "heard", "left", "gone", "worker")
-LOOK = 50  # ms; between two looks
+SERVE_WITHIN_MS = 5000  # ms to serve it, from the opening of the window or from when its queues need it
+QUIET_MS = 12_000  # ms after the last disturbance in which it need not be served
+DISTURBANCES = ("fault", "lapse", "freeze", "thaw", "lone", "heard", "left", "gone", "worker")
+CHECK_EVERY_MS = 50  # ms between two checks of whether reservations are served
 
 
-def room_of(d):
-    return [d.get("cores", 1), d.get("memMb", 0), d.get("gpus", 0)]
+def room_of(resources):
+    """[cores, memMb, gpus] of a step or reservation as it was sent."""
+    return [resources.get("cores", 1), resources.get("memMb", 0), resources.get("gpus", 0)]
 
 
 class ReservationRules:
+    """Checks reservations as callers, operators and workers saw them."""
+
     def open_reservations(self):
-        self.reserved, self.lane_jobs = {}, {}  # id: what was confirmed; lane: its jobs
-        self.percent, self.trouble, self.looked, self.away = 100, 0.0, 0.0, set()
+        self.reserved, self.queue_jobs = {}, {}  # id: confirmed reservation; queue: its jobs
+        self.percent, self.disturbed_at, self.checked_at, self.unavailable = 100, 0.0, 0.0, set()
 
-    def see_share(self, r):
-        """The operator's word: percent of a kind's room that reservations may take."""
-        self.percent = r["percent"]
+    def see_share(self, row):
+        """The operator set the percentage of a kind's resources that reservations may take."""
+        self.percent = row["percent"]
 
-    def see_reserve_out(self, r):
-        if r["status"] not in (200, 201) or r.get("state") not in ("waiting", "open"):
+    def see_reserve_out(self, row):
+        if row["status"] not in (200, 201) or row.get("state") not in ("waiting", "open"):
             return
-        b, have = r["body"], self.reserved.get(r["name"])
-        if have is not None:
-            if have["body"] != b:
-                self.flag("second-reservation", r["t"], f"{r['name']} confirmed with two bodies")
+        body, confirmed = row["body"], self.reserved.get(row["name"])
+        if confirmed is not None:
+            if confirmed["body"] != body:
+                self.flag("second-reservation", row["t"], f"{row['name']} was confirmed with two bodies")
             return
-        x = self.reserved[r["name"]] = {
-            "name": r["name"],
-            "body": b,
-            "kind": b["kind"],
-            "lanes": b["lanes"],
-            "begin": b["fromMs"],
-            "until": b["untilMs"],
-            "count": b["count"],
-            "room": room_of(b["room"]),
-            "t": r["t"],
+        reservation = self.reserved[row["name"]] = {
+            "name": row["name"],
+            "body": body,
+            "kind": body["kind"],
+            "lanes": body["lanes"],
+            "begin": body["fromMs"],
+            "until": body["untilMs"],
+            "count": body["count"],
+            "room": room_of(body["room"]),
+            "t": row["t"],
             "released": None,
             "short": None,
             "flagged": False,
         }
         self.seen["reservations"] = self.seen.get("reservations", 0) + 1
-        self.judge_sum(x, r["t"])
+        self.judge_total(reservation, row["t"])
 
-    def see_release(self, r):
-        """From when it was asked for, it may be gone."""
-        if r["name"] in self.reserved:
-            self.reserved[r["name"]]["released"] = r["t"]
+    def see_release(self, row):
+        """From the request to release it on, a reservation may be gone."""
+        if row["name"] in self.reserved:
+            self.reserved[row["name"]]["released"] = row["t"]
 
-    def see_shorten(self, r):
-        x = self.reserved.get(r["name"])
-        if x is not None:
-            x["until"] = min(x["until"], r["body"].get("untilMs", x["until"]))
-            x["count"] = min(x["count"], r["body"].get("count", x["count"]))
+    def see_shorten(self, row):
+        reservation = self.reserved.get(row["name"])
+        if reservation is not None:
+            reservation["until"] = min(reservation["until"], row["body"].get("untilMs", reservation["until"]))
+            reservation["count"] = min(reservation["count"], row["body"].get("count", reservation["count"]))
 
-    def see_reservation_out(self, r):
-        x = self.reserved.get(r["name"])
+    def see_reservation_out(self, row):
+        reservation = self.reserved.get(row["name"])
         if (
-            x is not None
-            and r["status"] == 404
-            and x["released"] is None
-            and r["at"] > x["t"]
-            and r["t"] < x["until"]
+            reservation is not None
+            and row["status"] == 404
+            and reservation["released"] is None
+            and row["at"] > reservation["t"]
+            and row["t"] < reservation["until"]
         ):
-            self.flag("forgotten", r["t"], f"reservation {r['name']} not to be read")
-
-    def well_cards(self, kind):
-        return [c for c in self.cards.values() if c["kind"] == kind and (c["w"], c["boot"]) not in self.lefts]
-
-    def judge_sum(self, x, t):
-        """At each moment of the new one's window, all that stands beside it."""
-        xs = [
-            y
-            for y in self.reserved.values()
-            if y["kind"] == x["kind"]
-            and y["released"] is None
-            and y["begin"] < x["until"]
-            and x["begin"] < y["until"]
+            self.flag("forgotten", row["t"], f"reservation {row['name']} cannot be read")
+
+    def available_workers(self, kind):
+        return [
+            worker
+            for worker in self.workers.values()
+            if worker["kind"] == kind and (worker["w"], worker["boot"]) not in self.left_at
         ]
-        cards = self.well_cards(x["kind"])
-        for k, what in enumerate(("cores", "memMb", "gpus")):
-            most = sum(c["room"][k] for c in cards) * self.percent // 100
-            for at in sorted({max(x["begin"], y["begin"]) for y in xs}):
-                n = sum(y["count"] * y["room"][k] for y in xs if y["begin"] <= at < y["until"])
-                if n > most:
+
+    def judge_total(self, reservation, time):
+        """All reservations must be within the share at each moment of a new one's window."""
+        overlapping = [
+            other
+            for other in self.reserved.values()
+            if other["kind"] == reservation["kind"]
+            and other["released"] is None
+            and other["begin"] < reservation["until"]
+            and reservation["begin"] < other["until"]
+        ]
+        workers = self.available_workers(reservation["kind"])
+        for resource, name in enumerate(("cores", "memMb", "gpus")):
+            most = sum(worker["room"][resource] for worker in workers) * self.percent // 100
+            for moment in sorted({max(reservation["begin"], other["begin"]) for other in overlapping}):
+                reserved = sum(
+                    other["count"] * other["room"][resource]
+                    for other in overlapping
+                    if other["begin"] <= moment < other["until"]
+                )
+                if reserved > most:
                     self.flag(
                         "oversold",
-                        t,
-                        f"{x['name']}: {n} {what} of {x['kind']} reserved at {at}, {most} may be",
+                        time,
+                        f"{reservation['name']}: {reserved} {name} of {reservation['kind']} at {moment}, limit {most}",
                     )
                     return
 
-    def note_lane_job(self, r):
-        """An accepted job whose waiting can be judged: its steps ask for nothing special."""
-        b = r["body"]
-        if not b.get("notBefore") and not any(
-            s.get(a)
-            for s in b.get("steps", ())
-            for a in ("after", "zone", "rack", "label", "spread", "gang", "notBefore")
+    def note_queue_job(self, row):
+        """Keeps an accepted job of whose tasks it is certain when they can start: its steps have no
+        requirements beside kind and resources."""
+        body = row["body"]
+        if not body.get("notBefore") and not any(
+            step.get(field)
+            for step in body.get("steps", ())
+            for field in ("after", "zone", "rack", "label", "spread", "gang", "notBefore")
         ):
-            self.lane_jobs.setdefault(b.get("lane"), {})[r["name"]] = b
-
-    def look_at_served(self, r):
-        """Called with each row once anything is reserved."""
-        t = r["t"]
-        if r["ev"] in TROUBLE:
-            self.trouble = t
-            if r["ev"] in ("lapse", "freeze", "lone", "left", "gone"):
-                self.away.add(r.get("w"))
-            elif r["ev"] in ("worker", "thaw", "heard"):
-                self.away.discard(r.get("w"))
-        if t < self.looked + LOOK:
+            self.queue_jobs.setdefault(body.get("lane"), {})[row["name"]] = body
+
+    def check_served(self, row):
+        """Checks at each row, once there are reservations, whether open ones are served in time."""
+        time = row["t"]
+        if row["ev"] in DISTURBANCES:
+            self.disturbed_at = time
+            if row["ev"] in ("lapse", "freeze", "lone", "left", "gone"):
+                self.unavailable.add(row.get("w"))
+            elif row["ev"] in ("worker", "thaw", "heard"):
+                self.unavailable.discard(row.get("w"))
+        if time < self.checked_at + CHECK_EVERY_MS:
             return
-        self.looked = t
-        xs = [x for x in self.reserved.values() if x["released"] is None and x["begin"] <= t < x["until"]]
-        for x in xs:
-            short = not x["flagged"] and self.waits_short(x, t, xs)
-            x["short"] = None if not short else x["short"] or t
-            if short and t > max(x["short"], x["begin"], self.trouble + UNWELL) + SERVED:
-                x["flagged"] = True
+        self.checked_at = time
+        overlapping = [
+            reservation
+            for reservation in self.reserved.values()
+            if reservation["released"] is None and reservation["begin"] <= time < reservation["until"]
+        ]
+        for reservation in overlapping:
+            short = not reservation["flagged"] and self.is_underserved(reservation, time, overlapping)
+            reservation["short"] = None if not short else reservation["short"] or time
+            if (
+                short
+                and time
+                > max(reservation["short"], reservation["begin"], self.disturbed_at + QUIET_MS)
+                + SERVE_WITHIN_MS
+            ):
+                reservation["flagged"] = True
                 self.flag(
                     "unserved",
-                    t,
-                    f"{x['name']}: lanes {x['lanes']} wait for "
-                    f"{t - x['short']:.0f} ms with less than their {x['count']}",
+                    time,
+                    f"{reservation['name']}: queues {reservation['lanes']} have waited "
+                    f"{time - reservation['short']:.0f} ms with fewer than {reservation['count']} tasks",
                 )
 
-    def waits_short(self, x, t, xs):
-        cards = [
-            c
-            for c in self.well_cards(x["kind"])
-            if c["w"] not in self.away and x["body"].get("zone", "") in ("", c["zone"])
+    def is_underserved(self, reservation, time, overlapping):
+        """Whether an open reservation has fewer running tasks than its count, though tasks wait for it and
+        the available workers could hold it and all others that are open."""
+        workers = [
+            worker
+            for worker in self.available_workers(reservation["kind"])
+            if worker["w"] not in self.unavailable
+            and reservation["body"].get("zone", "") in ("", worker["zone"])
         ]
-        could = sum(min(c["room"][k] // x["room"][k] for k in range(3) if x["room"][k]) for c in cards)
-        if could < sum(y["count"] for y in xs if y["kind"] == x["kind"]) or x["body"].get("label"):
+        capacity = sum(
+            min(
+                worker["room"][resource] // reservation["room"][resource]
+                for resource in range(3)
+                if reservation["room"][resource]
+            )
+            for worker in workers
+        )
+        if capacity < sum(
+            other["count"] for other in overlapping if other["kind"] == reservation["kind"]
+        ) or reservation["body"].get("label"):
             return False
-        live = {g["task"] for g in self.live.values()}
-        mine = sum(
-            self.body_of(g["job"]).get("lane") in x["lanes"]
-            and g["w"] in self.cards
-            and self.cards[g["w"]]["kind"] == x["kind"]
-            for g in self.live.values()
+        live = {start["task"] for start in self.live.values()}
+        running = sum(
+            self.body_of(start["job"]).get("lane") in reservation["lanes"]
+            and start["w"] in self.workers
+            and self.workers[start["w"]]["kind"] == reservation["kind"]
+            for start in self.live.values()
         )
-        return mine < x["count"] and any(
-            self.limit_of(a, t) is None and self.lane_waits(a, x, live) for a in x["lanes"]
+        return running < reservation["count"] and any(
+            self.limit_of(lane, time) is None and self.queue_waits(lane, reservation, live)
+            for lane in reservation["lanes"]
         )
 
-    def lane_waits(self, lane, x, live):
-        """Whether a task of the lane that fits a reserved room is ready and not begun."""
-        jobs = self.lane_jobs.get(lane, {})
-        for n, b in list(jobs.items()):
-            ts = [(f"{n}/{s['name']}/{i}", s) for s in b["steps"] for i in range(s.get("tasks", 1))]
+    def queue_waits(self, lane, reservation, live):
+        """Whether a task of the queue that fits the reservation is ready and not started. Drops jobs
+        whose tasks need not run any more."""
+        jobs = self.queue_jobs.get(lane, {})
+        for name, body in list(jobs.items()):
+            tasks = [
+                (f"{name}/{step['name']}/{task}", step)
+                for step in body["steps"]
+                for task in range(step.get("tasks", 1))
+            ]
             if (
-                all(i in self.ok_ends for i, _ in ts)
-                or any(i in self.bad_ends for i, _ in ts)
-                or self.jobs[n]["cancel_asked"] is not None
+                all(task in self.ok_ends for task, _ in tasks)
+                or any(task in self.bad_ends for task, _ in tasks)
+                or self.jobs[name]["cancel_asked"] is not None
             ):
-                del jobs[n]
+                del jobs[name]
             elif any(
-                i not in live
-                and i not in self.ok_ends
-                and s["kind"] == x["kind"]
-                and all(a <= b for a, b in zip(room_of(s.get("room", {})), x["room"]))
-                for i, s in ts
+                task not in live
+                and task not in self.ok_ends
+                and step["kind"] == reservation["kind"]
+                and all(
+                    wanted <= reserved
+                    for wanted, reserved in zip(room_of(step.get("room", {})), reservation["room"])
+                )
+                for task, step in tasks
             ):
                 return True
         return False
