--- a/hollowhall/check/jobs.py
+++ b/hollowhall/check/jobs.py
@@ -2,11 +2,10 @@
 runs on after a cancel, accepted jobs are not forgotten, and a job is done only if every task
 succeeded."""
 
-VISIBLE_MS, READABLE_MS = (
-    3000,
-    120_000,
-)  # ms; from acceptance until it must be visible; from its end on, how long it must stay readable
-CANCEL_START_MS, CANCEL_RUN_MS = 3000, 12_000  # ms after a confirmed cancel
+# A job must be visible from this long after its acceptance on, until this long after its end was seen.
+VISIBLE_MS, READABLE_MS = 3000, 120_000
+# After a confirmed cancel, no task may start later than the first, nor run on later than the second.
+CANCEL_START_MS, CANCEL_RUN_MS = 3000, 12_000
 RECOVER_MS = 12_000  # ms after the last fault until requests must succeed
 ENDS = ("done", "failed", "cancelled")
 
@@ -16,6 +15,7 @@
 
     def open_jobs(self):
         self.jobs = {}  # name: what callers know of it
+        # done_seen: (time, name) of jobs shown as done; served: times of successful answers
         self.done_seen, self.last_fault, self.served = [], None, []
 
     def job(self, name):
--- a/hollowhall/check/reservations.py
+++ b/hollowhall/check/reservations.py
@@ -18,6 +18,7 @@
 
     def open_reservations(self):
         self.reserved, self.queue_jobs = {}, {}  # id: confirmed reservation; queue: its jobs
+        # unavailable: workers that are frozen, unreachable, leaving or gone
         self.percent, self.disturbed_at, self.checked_at, self.unavailable = 100, 0.0, 0.0, set()
 
     def see_share(self, row):
@@ -101,7 +102,7 @@
                     self.flag(
                         "oversold",
                         time,
-                        f"{reservation['name']}: {reserved} {name} of {reservation['kind']} at {moment}, limit {most}",
+                        f"{reservation['name']}: {reserved} {name} of {reservation['kind']} at {moment}, of {most}",
                     )
                     return
 
--- a/hollowhall/check/workers.py
+++ b/hollowhall/check/workers.py
@@ -12,9 +12,15 @@
 
     def open_workers(self):
         self.live = {}  # run: its start row
+        # live runs by task id, by worker, and by (job, step)
         self.by_task, self.by_worker, self.by_step = {}, {}, {}
+        # ok_ends: task: first success; bad_ends: task: failures that count; failures: task: number of all
+        # failures; left_at: (worker, boot): time of its leave; spans: job: (start, end, task, worker)
         self.ok_ends, self.bad_ends, self.failures, self.left_at, self.spans = {}, {}, {}, {}, {}
-        self.successes, self.refused_starts, self.frozen, self.thawed, self.stale = ({}, [], set(), {}, {})
+        # successes: task: its success that counts; stale: run of a frozen machine: the start that replaced it
+        self.successes, self.refused_starts, self.frozen, self.thawed, self.stale = {}, [], set(), {}, {}
+        # unreachable: worker: None, or the time at which it was heard again; discarded_ends: tasks whose
+        # success does not count; newest_runs: task: highest run id
         self.unreachable, self.discarded_ends, self.top_stamp, self.newest_runs = {}, set(), 0, {}
 
     def see_freeze(self, row):
--- a/hollowhall/record/__init__.py
+++ b/hollowhall/record/__init__.py
@@ -35,7 +35,7 @@
     return len(event[3]) if event[0] == "gang" else 1
 
 
-def phys(stamp):
+def physical_ms(stamp):
     """The physical part of a stamp, in milliseconds."""
     return stamp >> constants.LOGICAL_BITS
 
@@ -58,14 +58,15 @@
 
     def clear(self):
         """Empties the record, at format level 0 and configuration version 1."""
+        # last: the newest stamp applied; sum: the running state checksum, kept from level 1 on
         self.epoch = self.clock_epoch = self.last = self.level = self.sum = 0
         self.charter = {"version": 1, "rows": {}, "at": 0}
+        # names: name: [stamp, digest, state] of forgotten jobs; gone: id: (earlier boots, leaving boot) of
+        # removed workers; legs: run: attempt
         self.jobs, self.names, self.workers, self.legs, self.gone = {}, {}, {}, {}, {}
         self.fleet = 0  # counts workers added and removed; not part of a snapshot
-        self.evacuated, self.taken = (
-            {},
-            {},
-        )  # zone: stamp; version chosen by an operator: idempotency key of its edit
+        # evacuated: zone: stamp; taken: version that an operator chose: idempotency key of its edit
+        self.evacuated, self.taken = {}, {}
         self.clear_reservations()
         self.clear_tenants()
         self.clear_budgets()
@@ -77,7 +78,10 @@
         self.index_places()
         self.fleet += 1
         self.weight = sum(weight_of(job.spec) for job in self.jobs.values())
+        # ready: (job, step): its ready tasks; lines: queue: (shape, tenant): steps with ready tasks, in the
+        # order of their jobs; ended: (stamp, name) of jobs that ended, oldest first
         self.ready, self.lines, self.ended = {}, {}, deque()
+        # by queue or tenant: running attempts, and [cores, memMb, gpus] that they use
         self.lane_run, self.lane_used = {}, {}
         self.tenant_used, self.tenant_lasting = {}, {}
         for worker in self.workers.values():
@@ -213,4 +217,4 @@
         return ["ok", zone]
 
 
-__all__ = ["Record", "Task", "Step", "phys", "check_rows"]
+__all__ = ["Record", "Task", "Step", "physical_ms", "check_rows"]
--- a/hollowhall/record/gangs.py
+++ b/hollowhall/record/gangs.py
@@ -43,13 +43,13 @@
             return ["no", "gone"]
         tasks, workers = (
             self.members(job=job, step=step_name),
-            [self.workers.get(worker) for worker in worker_ids],
+            [self.workers.get(name) for name in worker_ids],
         )
         if len(tasks) != len(workers) or None in workers:
             return ["no", "gone"]
         if why := self.tenant_refusal(job=job, room=job.steps[step_name].spec["room"], count=len(tasks)):
             return ["no", why]
-        number, gang, now, attempts = (
+        number, gang, now, added = (
             max(task.starts for task in tasks) + 1,
             stamp,
             stamp >> self.logical_bits,
@@ -59,10 +59,10 @@
         for index, (task, worker) in enumerate(zip(tasks, workers)):
             why = self.unfit(task, worker, now=now) or ("attempts" if task.live else "")
             if why:
-                for attempt in attempts:
+                for attempt in added:
                     self.take_room(attempt=attempt, sign=-1)
                 return ["no", why]
-            attempts.append(
+            added.append(
                 Leg(
                     run=stamp + index,
                     task=task.id,
@@ -75,8 +75,8 @@
                     gang=gang,
                 )
             )
-            self.take_room(attempt=attempts[-1], sign=1)
-        for task, attempt in zip(tasks, attempts):
+            self.take_room(attempt=added[-1], sign=1)
+        for task, attempt in zip(tasks, added):
             self.task_to(task=task, state=RUNNING, stamp=attempt.run)
             task.run, task.starts, task.live = attempt.run, number, 1
             self.legs[attempt.run] = attempt
--- a/hollowhall/record/reservations.py
+++ b/hollowhall/record/reservations.py
@@ -57,9 +57,8 @@
     overlapping = [use for use in taken if use[0] < until and begin < use[1]]
     if not overlapping:
         return [0, 0, 0]
-    if len(overlapping) == 1 or max(use[0] for use in overlapping) < min(
-        use[1] for use in overlapping
-    ):  # all overlap at one moment
+    # all overlap at one moment
+    if len(overlapping) == 1 or max(use[0] for use in overlapping) < min(use[1] for use in overlapping):
         return [sum(use[2][resource] for use in overlapping) for resource in range(3)]
     most = [0, 0, 0]
     for moment in {begin, *(use[0] for use in overlapping if use[0] > begin)}:
