--- a/tests/queue_store.py
+++ b/tests/queue_store.py
@@ -1,4 +1,4 @@
-"""A record with queues that have places, and what a primary and an operator do to it."""
+"""Helper of tests: a record with queues that have places, and calls of a primary and an operator on it."""
 
 from test_level_two import step
 
@@ -14,19 +14,20 @@
 
 
 class Store:
-    """A record, and what a primary and an operator do to it."""
+    """A record, and what a primary and an operator change in it. Each call is a second later."""
 
     def __init__(self, *, level=4, workers=4, **rows):
         self.record, self.stamp, self.revision = Record(), 1, 0
         self.record.to_level(level)
         self.configure(**rows)
-        for n in range(workers):
-            self.do(["worker", f"w{n}", "1", "svc", "z", "r", [8000, 1000, 0], True, ["a"]])
+        for index in range(workers):
+            self.do(["worker", f"w{index}", "1", "svc", "z", "r", [8000, 1000, 0], True, ["a"]])
 
     def do(self, *events):
+        """Applies events as one batch; their results."""
         self.stamp += 1000 << LOGICAL_BITS
-        turn = {"e": 1, "c": 1, "s": self.stamp, "v": list(events)}
-        return self.record.enact(op="turn", d=turn).value
+        batch = {"e": 1, "c": 1, "s": self.stamp, "v": list(events)}
+        return self.record.enact(op="turn", d=batch).value
 
     def configure(self, *, tenants=None, **rows):
         self.revision += 1
@@ -53,7 +54,7 @@
         return self.record.jobs[name].lane
 
     def restarted(self):
-        """The same after a snapshot was written and read back."""
+        """The same store, with a record loaded from a snapshot of the present one."""
         record = Record()
         record.load(self.record.pack())
         assert record.digest() == self.record.digest()
@@ -61,9 +62,9 @@
         return self
 
     def grants(self):
-        """Starts whatever the record lets start, of tasks in the lines; names of the tasks."""
+        """Starts every waiting task that the record allows; ids of the started tasks."""
         started = []
-        for queue in [q for q in self.record.lines if q in self.record.charter["rows"]]:
+        for queue in [name for name in self.record.lines if name in self.record.charter["rows"]]:
             for line in list(self.record.lines[queue].values()):
                 for _, job, step_name in list(line):
                     for task in list(self.record.ready[job, step_name].values()):
--- a/tests/test_check.py
+++ b/tests/test_check.py
@@ -1,5 +1,5 @@
-"""The checker can fail: a lawful history is clean, and for every rule one planted
-violation is caught."""
+"""The checker finds violations: a history that breaks no rule is clean, and for every rule a planted
+violation is reported."""
 
 import copy
 
@@ -79,23 +79,23 @@
 
 
 def test_a_lawful_history_is_clean():
-    bad, seen = judge(history())
-    assert bad == [] and seen["starts"] == 3 and seen["jobs_ended"] == 1
+    violations, seen = judge(history())
+    assert violations == [] and seen["starts"] == 3 and seen["jobs_ended"] == 1
 
 
 def test_a_cut_off_worker_cannot_be_told_and_restart_may_run_twice():
     rows, again = history(), history()
     ran_on_after_it_was_heard(rows)
     at(rows, "heard")["t"] = T0 + 16_900
-    assert "cancelled-runs" not in {b.rule for b in judge(rows)[0]}
+    assert "cancelled-runs" not in {violation.rule for violation in judge(rows)[0]}
     ran_on_and_elsewhere(again)
-    for x in [x for x in again if "body" in x]:
-        x["body"]["steps"][0]["ifLost"] = "restart"
-    assert "twice" not in {b.rule for b in judge(again)[0]}
+    for row in [row for row in again if "body" in row]:
+        row["body"]["steps"][0]["ifLost"] = "restart"
+    assert "twice" not in {violation.rule for violation in judge(again)[0]}
 
 
 @pytest.mark.parametrize("plant, rule", PLANTED, ids=[p.__name__ for p, _ in PLANTED])
 def test_a_planted_violation_is_caught(plant, rule):
     rows = copy.deepcopy(history())
     plant(rows)
-    assert rule in {b.rule for b in judge(rows)[0]}
+    assert rule in {violation.rule for violation in judge(rows)[0]}
--- a/tests/test_held_for_nobody.py
+++ b/tests/test_held_for_nobody.py
@@ -1,4 +1,4 @@
-"""Workers held back for steps that may not start now are given free for others."""
+"""Workers that are held back for a step which may not start now are released for others."""
 
 from test_level_two import ROW, made, step
 
@@ -6,18 +6,19 @@
 from hollowhall.desk.place import Round
 from hollowhall.record.charter import check_job
 
-SOON = 1500  # ms; before anything starves
+SOON = 1500  # ms after the last event, before any step counts as starved
 URGENT = ROW | {"urgency": 9}
 
 
 def held(*, steps=None, row=ROW):
-    """(record, kept): one worker, empty, held back for job `j`; an urgent job waits for it."""
+    """(record, kept): one idle worker, held back for job `j`, while an urgent job waits for a worker."""
     record = made(steps=steps or [step(room={"cores": 8000})], workers=1, rows={"q": row, "urgent": URGENT})
     record.do(["job", "u", *check_job({"lane": "urgent", "steps": [step(room={"cores": 8000})]})])
     return record, {"w0": ("j", "0.0")}
 
 
 def placed(record, kept):
+    """Tasks that one placement round starts."""
     now = (record.last >> LOGICAL_BITS) + SOON
     return [task for task, _ in Round(rec=record, now=now, most=9, kept=kept).run()]
 
@@ -28,7 +29,7 @@
 
 
 def test_a_worker_held_back_for_a_job_of_a_removed_queue_is_given_free():
-    # LOST, review case 2: it stayed empty for as long as this primary lived
+    # guards against the worker staying idle until the primary changed
     record, kept = held()
     configure(record, q=None)
     assert placed(record, kept) == ["u/0.0/0"] and kept == {}
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,10 +1,10 @@
-"""Keys of tenants: who a call comes from, and what never tells a key. Guards against ROUTE (issue 31):
-requests were run with a key that no configuration has ever held."""
+"""Keys of tenants: which tenant a request belongs to, and what must never contain a key. Guards against
+accepting requests with a key that no configuration has ever had (issue 31)."""
 
 import pytest
 from tenant_store import TenantStore, tenant
 
-from hollowhall.base import problems as P
+from hollowhall.base import problems
 from hollowhall.mast.keys import KeysMixin, bearer_key
 from hollowhall.record.tenant_bodies import check_tenants, key_digest
 
@@ -12,6 +12,8 @@
 
 
 class Edge(KeysMixin):
+    """A gateway that holds a configuration."""
+
     def __init__(self, *, version=1, rows=None, tenants=None):
         self.charter = {"version": version, "rows": rows or {}}
         if tenants is not None:
@@ -19,9 +21,9 @@
 
 
 def test_a_key_that_no_tenant_has_is_refused():
-    # ROUTE, issue 31: such requests were run
+    # issue 31: such requests were accepted
     edge = Edge(tenants={"t": tenant(keys=[SECRET, "two"]), "u": tenant(keys=["three"])})
-    assert [edge.authorize(key=k).value for k in (SECRET, "two", "three")] == ["t", "t", "u"]
+    assert [edge.authorize(key=given).value for given in (SECRET, "two", "three")] == ["t", "t", "u"]
     for key in (
         None,
         "",
@@ -31,7 +33,7 @@
         key_digest(SECRET),
         "sha256:" + key_digest(SECRET),
     ):
-        assert isinstance(edge.authorize(key=key), P.Unauthorized)
+        assert isinstance(edge.authorize(key=key), problems.Unauthorized)
 
 
 def test_an_open_queue_asks_for_no_key():
@@ -47,7 +49,7 @@
 
 
 def test_keys_follow_the_configuration_that_is_held():
-    # a key that moves to another tenant in one version, and one that is dropped
+    # one key moves to another tenant, then it is removed
     edge = Edge(tenants={"t": tenant(keys=[SECRET, "two"])})
     assert edge.authorize(key=SECRET).value == "t"
     moved = {"t": tenant(keys=["two"]), "u": tenant(keys=[SECRET])}
@@ -89,19 +91,19 @@
     ],
 )
 def test_bad_tenants_are_named_and_no_key_is(row, field):
-    with pytest.raises(P.Raised) as raised:
+    with pytest.raises(problems.Raised) as raised:
         check_tenants({"t": row})
     errors = raised.value.problem.errors
     assert field in dict(errors) and SECRET not in str(errors)
-    with pytest.raises(P.Raised):
+    with pytest.raises(problems.Raised):
         check_tenants({"": tenant()})
-    with pytest.raises(P.Raised):
+    with pytest.raises(problems.Raised):
         check_tenants([tenant()])
 
 
 def test_what_daemons_and_dumps_get_of_a_configuration_has_no_key():
-    s = TenantStore(t=tenant(keys=[SECRET]) | {"note": {"apiKeys": [SECRET]}})
-    s.job_of("t")
-    assert SECRET in str(s.record.charter) and SECRET not in str(s.record.public_configuration())
-    s.limit(u=tenant())
-    assert s.record.former_tenants.keys() == {"t"} and SECRET not in str(s.record.former_tenants)
+    store = TenantStore(t=tenant(keys=[SECRET]) | {"note": {"apiKeys": [SECRET]}})
+    store.job_of("t")
+    assert SECRET in str(store.record.charter) and SECRET not in str(store.record.public_configuration())
+    store.limit(u=tenant())
+    assert store.record.former_tenants.keys() == {"t"} and SECRET not in str(store.record.former_tenants)
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -1,6 +1,6 @@
-"""The record's format levels: raised when every member knows the next one and never
-back; a version that meets a newer one ends; an older daemon is refused; a member
-whose record differs from the others' ends before it serves anything more."""
+"""Format levels of the record: the level is raised when every member supports the next one, and never
+lowered; a release that meets a newer level ends; an older daemon is refused; a member whose record differs
+from the others' ends before it serves anything else."""
 
 import asyncio
 
@@ -18,137 +18,147 @@
 from hollowhall.standins.shapes import SHAPES
 
 
-def has(w, no):
-    return [x.split()[1] for x in w.log if f" HH{no} " in x]
+def daemons_that_logged(world, number):
+    """Names of the daemons with a log event of that number, once for each event."""
+    return [line.split()[1] for line in world.log if f" HH{number} " in line]
 
 
 class Old:
-    """What a daemon of 0.1.0 tells of itself: no level."""
+    """A daemon of release 0.1.0, which states no level."""
 
     abstract = False
 
     def hello(self):
-        return {a: b for a, b in super().hello().items() if a != "level"}
+        return {name: value for name, value in super().hello().items() if name != "level"}
 
     def open_member(self, **kw):
         super().open_member(**kw)
         del self.card["level"]
 
     async def store(self, *, op, request, **kw):
-        return await super().store(op=op, request={a: x for a, x in request.items() if a != "level"}, **kw)
+        return await super().store(
+            op=op, request={name: value for name, value in request.items() if name != "level"}, **kw
+        )
 
     async def near(self, *, op, request, **kw):
-        return await super().near(op=op, request={a: x for a, x in request.items() if a != "level"}, **kw)
+        return await super().near(
+            op=op, request={name: value for name, value in request.items() if name != "level"}, **kw
+        )
 
 
 class OldAlmanac(Old, Almanac):
-    pass
+    """A store member of release 0.1.0."""
 
 
 class OldDesk(Old, Desk):
-    pass
+    """A scheduler of release 0.1.0."""
 
 
-def run(w, steps, *, seconds=14):
+def run(world, steps, *, seconds=14):
     async def go():
-        w.start_all()
-        op, req = w.operator(tag="op"), w.requester(tag="r")
-        await op.found(lanes=w.shape.lanes)
-        w.add_crew()
-        load = asyncio.ensure_future(req.run(mix=w.shape.mix, seconds=seconds, settle=20))
-        await steps(w)
+        world.start_all()
+        operator, caller = world.operator(tag="op"), world.requester(tag="r")
+        await operator.found(lanes=world.shape.lanes)
+        world.add_crew()
+        load = asyncio.ensure_future(caller.run(mix=world.shape.mix, seconds=seconds, settle=20))
+        await steps(world)
         await load
-        w.hist.note("calm")
+        world.hist.note("calm")
 
-    w.run(go())
-    bad, seen = judge(w.hist.rows)
-    assert bad == [], [(b.rule, b.text) for b in bad[:3]]
+    world.run(go())
+    violations, seen = judge(world.hist.rows)
+    assert violations == [], [(violation.rule, violation.text) for violation in violations[:3]]
     return seen
 
 
 @pytest.mark.parametrize("role, old", [("almanac", OldAlmanac), ("desk", OldDesk)])
 def test_the_level_waits_for_the_last_old_daemon(role, old):
-    w, seen = World(seed=3, shape=SHAPES["cymylau"], masts=2), []
-    real = w.build[role]
-    w.build = W.REAL | {role: type("Mixed", (real,), {"abstract": False})}
-    n = f"{role}-2"
-
-    async def steps(w):
-        w.kill(n)
-        w.build = W.REAL | {role: old}
-        w.start(n)
+    world, seen = World(seed=3, shape=SHAPES["cymylau"], masts=2), []
+    real = world.build[role]
+    world.build = W.REAL | {role: type("Mixed", (real,), {"abstract": False})}
+    daemon_name = f"{role}-2"
+
+    async def steps(world):
+        world.kill(daemon_name)
+        world.build = W.REAL | {role: old}
+        world.start(daemon_name)
         await asyncio.sleep(5)
-        seen.append(has(w, 211))
-        w.build = W.REAL
-        w.kill(n)
-        w.start(n)
+        seen.append(daemons_that_logged(world, 211))
+        world.build = W.REAL
+        world.kill(daemon_name)
+        world.start(daemon_name)
         await asyncio.sleep(6)
-        seen.append(has(w, 211))
-        w.build = W.REAL | {role: old}
-        w.kill(n)
-        w.start(n)
+        seen.append(daemons_that_logged(world, 211))
+        world.build = W.REAL | {role: old}
+        world.kill(daemon_name)
+        world.start(daemon_name)
         await asyncio.sleep(3)
 
-    w.cards[n]["level"] = 0
-    w.extra = {}
-    for c in w.cards.values():
-        c.pop("level", None)
-    first = w.start
+    world.cards[daemon_name]["level"] = 0
+    world.extra = {}
+    for card in world.cards.values():
+        card.pop("level", None)
+    real_start = world.start
 
     def start(name):
-        if not seen and name == n and n not in [x.name for x in w.graves]:
-            w.build = W.REAL | {role: old}
-        first(name)
-        w.build = W.REAL
+        if not seen and name == daemon_name and daemon_name not in [node.name for node in world.graves]:
+            world.build = W.REAL | {role: old}
+        real_start(name)
+        world.build = W.REAL
 
-    w.start = start
-    run(w, steps, seconds=16)
+    world.start = start
+    run(world, steps, seconds=16)
     assert seen[0] == [] and len(set(seen[1])) == 3
     assert all(
-        x.daemon.record.level == constants.LEVEL_USUAL
-        for x in w.graves
-        if x.name == "almanac-1" and x.daemon.applied
+        node.daemon.record.level == constants.LEVEL_USUAL
+        for node in world.graves
+        if node.name == "almanac-1" and node.daemon.applied
     )
 
 
 def test_a_param_keeps_the_level_down():
-    w = World(seed=3, shape=SHAPES["cymylau"], masts=1, params={"level": 0})
+    world = World(seed=3, shape=SHAPES["cymylau"], masts=1, params={"level": 0})
 
-    async def steps(w):
+    async def steps(world):
         await asyncio.sleep(5)
 
-    run(w, steps, seconds=6)
-    assert has(w, 211) == [] and not any(
-        x.daemon.record.level for x in w.graves if x.name.startswith("almanac")
+    run(world, steps, seconds=6)
+    assert daemons_that_logged(world, 211) == [] and not any(
+        node.daemon.record.level for node in world.graves if node.name.startswith("almanac")
     )
 
 
 def test_a_version_that_meets_a_newer_record_ends():
-    w = World(seed=3, shape=SHAPES["cymylau"], masts=1)
+    world = World(seed=3, shape=SHAPES["cymylau"], masts=1)
 
     async def go():
-        w.start_all()
+        world.start_all()
         await asyncio.sleep(4)
-        lead = w.nodes[w.who("almanac", "leader")[0]].daemon
-        lead.propose(request=pack(["level", constants.LEVEL + 1]), callback=lambda o: None)
+        leader = world.nodes[world.who("almanac", "leader")[0]].daemon
+        leader.propose(request=pack(["level", constants.LEVEL + 1]), callback=lambda result: None)
         await asyncio.sleep(3)
 
-    w.run(go())
-    assert len(set(has(w, 212))) >= 2 and not has(w, 106)
-    assert not [n for n in w.nodes if n.startswith("almanac")] or len(set(has(w, 212))) >= 2
+    world.run(go())
+    assert len(set(daemons_that_logged(world, 212))) >= 2 and not daemons_that_logged(world, 106)
+    assert (
+        not [name for name in world.nodes if name.startswith("almanac")]
+        or len(set(daemons_that_logged(world, 212))) >= 2
+    )
 
 
 class OddRecord(Record):
-    """Lets a task fail once more than it may."""
+    """Allows a task one failure more than its step does."""
 
     def task_bad(self, *, job, task, worker, stamp, why):
-        s = job.steps[task.step].spec
-        job.steps[task.step].spec = s | {"maxFailures": s["maxFailures"] + 1}
+        spec = job.steps[task.step].spec
+        job.steps[task.step].spec = spec | {"maxFailures": spec["maxFailures"] + 1}
         super().task_bad(job=job, task=task, worker=worker, stamp=stamp, why=why)
-        job.steps[task.step].spec = s
+        job.steps[task.step].spec = spec
 
 
 class OddOne(Almanac):
+    """Store members of which `almanac-2` has a record that diverges."""
+
     abstract = False
 
     def make_record(self):
@@ -157,13 +167,13 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_member_that_differs_ends_and_the_others_serve(seed):
-    w = World(seed=seed, shape=SHAPES["cymylau"], masts=2, build=W.REAL | {"almanac": OddOne})
+    world = World(seed=seed, shape=SHAPES["cymylau"], masts=2, build=W.REAL | {"almanac": OddOne})
 
-    async def steps(w):
+    async def steps(world):
         await asyncio.sleep(2)
-        req = w.requester(tag="flop")
+        caller = world.requester(tag="flop")
         for _ in range(6):
-            await req.send(
+            await caller.send(
                 body={
                     "lane": "tiles",
                     "steps": [
@@ -171,31 +181,31 @@
                     ],
                 }
             )
-        for n in range(6):
-            await req.follow(f"flop-{n + 1}", until=w.loop.vt + 5)
+        for index in range(6):
+            await caller.follow(f"flop-{index + 1}", until=world.loop.vt + 5)
 
-    run(w, steps)
-    assert set(has(w, 214)) == {"almanac.almanac-2"}
+    run(world, steps)
+    assert set(daemons_that_logged(world, 214)) == {"almanac.almanac-2"}
 
 
 def test_a_new_store_takes_no_table_in_before_it_has_risen(monkeypatch):
-    # ROUTE in soaks 13 and 19: two queues were exchanged in the 1.2 s in which a new store passed the
-    # levels below 4, and jobs went with their queue's name to the other service
-    w = PlatformWorld(seed=3, edges=1)
+    # Guards against jobs that run in the wrong service: in soaks 13 and 19 two queues were swapped in the
+    # 1.2 s in which a new store passed the levels below 4, and jobs followed the name of their queue.
+    world = PlatformWorld(seed=3, edges=1)
     levels, edit_chosen = [], Record.edit_chosen
 
-    def noted(self, d):
+    def noted(self, change):
         levels.append(self.level)
-        return edit_chosen(self, d)
+        return edit_chosen(self, change)
 
     monkeypatch.setattr(Record, "edit_chosen", noted)
 
     async def go():
-        w.start_all()
-        tries = []
-        for n in range(50):  # one alone pauses for longer than the rise takes
-            tries.append(asyncio.ensure_future(w.s.operator(f"op{n}").put(table(), limit=8)))
+        world.start_all()
+        requests = []
+        for index in range(50):  # a single caller would pause for longer than the level takes to rise
+            requests.append(asyncio.ensure_future(world.s.operator(f"op{index}").put(table(), limit=8)))
             await asyncio.sleep(0.1)
-        return await asyncio.gather(*tries)
+        return await asyncio.gather(*requests)
 
-    assert all(w.run(go())) and set(levels) == {constants.LEVEL}
+    assert all(world.run(go())) and set(levels) == {constants.LEVEL}
--- a/tests/test_limits_record.py
+++ b/tests/test_limits_record.py
@@ -1,10 +1,10 @@
-"""The bounds of the record's memory and of a primary's processor, in virtual time: jobs that
-would pass them are refused and come back; ends, cancels and reports never are."""
+"""Limits on the record's memory and on a primary's CPU, in virtual time: jobs that would exceed them are
+refused and may be sent again; ends, cancels and reports of workers never are."""
 
 import asyncio
 import tracemalloc
 
-import boot  # found by way of the adapter's tests
+import boot  # on the path of the platform adapter's tests
 import front
 import pytest
 from test_platform_translation import SETTINGS, write
@@ -21,48 +21,50 @@
     return {"lane": "tiles", "notBefore": at, "steps": [step("a", "tile", 100, tasks=tasks)]}
 
 
-def world(**kw):
-    w = World(seed=5, shape=SHAPES["cymylau"], masts=1, params=kw)
+def world(**params):
+    simulated = World(seed=5, shape=SHAPES["cymylau"], masts=1, params=params)
 
     async def up():
-        w.start_all()
-        op, req = w.operator(tag="op"), w.requester(tag="r")
-        await op.found(lanes=w.shape.lanes)
+        simulated.start_all()
+        operator, caller = simulated.operator(tag="op"), simulated.requester(tag="r")
+        await operator.found(lanes=simulated.shape.lanes)
         await asyncio.sleep(3)
-        return req, w.nodes[w.who("desk", "primary")[0]].daemon
+        return caller, simulated.nodes[simulated.who("desk", "primary")[0]].daemon
 
-    return w, up
+    return simulated, up
 
 
 def test_jobs_beyond_a_share_of_memory_are_refused_and_cancels_are_not():
-    w, up = world(memory_mb=64)
+    sim, up = world(memory_mb=64)
     out = {}
 
-    async def put(req, n):
-        return await req.ask("put", "PUT", f"/v1/jobs/j{n}", body(3000), name=f"j{n}", body=body(3000))
+    async def put(caller, index):
+        return await caller.ask(
+            "put", "PUT", f"/v1/jobs/j{index}", body(3000), name=f"j{index}", body=body(3000)
+        )
 
     async def go():
-        req, d = await up()
+        caller, primary = await up()
         most = int(64 * (1 << 20) * constants.RECORD_PART)
-        st, n = 201, -1
-        while st == 201:
-            n += 1
-            st, v, h = await put(req, n)
-        out["first"] = st, v["problem"], v["taken"], int(h["Retry-After"])
-        out["weight"], out["most"] = d.record.weight, most
-        out["again"] = (await put(req, 0))[0]  # what is recorded needs no room
-        w.add_crew()
+        status, index = 201, -1
+        while status == 201:
+            index += 1
+            status, answer, headers = await put(caller, index)
+        out["first"] = status, answer["problem"], answer["taken"], int(headers["Retry-After"])
+        out["weight"], out["most"] = primary.record.weight, most
+        out["again"] = (await put(caller, 0))[0]  # a job that is recorded already needs no more memory
+        sim.add_crew()
         await asyncio.sleep(2)
-        out["cancel"] = (await req.ask("cancel", "DELETE", "/v1/jobs/j0", name="j0"))[0]
-        out["workers"] = len(d.record.workers)
-        r = d.record
-        out["sum"] = r.weight, sum(weight_of(j.spec) for j in r.jobs.values()), d.coming
-        was = r.weight
-        r.rule = r.rule | {"readable_ms": 0}  # as if ten minutes had gone by
-        r.ev_forget(r.last + (10 << constants.LOGICAL_BITS))
-        out["freed"] = was - r.weight
-
-    w.run(go())
+        out["cancel"] = (await caller.ask("cancel", "DELETE", "/v1/jobs/j0", name="j0"))[0]
+        out["workers"] = len(primary.record.workers)
+        record = primary.record
+        out["sum"] = record.weight, sum(weight_of(job.spec) for job in record.jobs.values()), primary.coming
+        before = record.weight
+        record.rule = record.rule | {"readable_ms": 0}  # as if ten minutes had passed
+        record.ev_forget(record.last + (10 << constants.LOGICAL_BITS))
+        out["freed"] = before - record.weight
+
+    sim.run(go())
     assert out["first"][:3] == (429, "Full", "no") and out["first"][3] >= 1
     assert 0.8 * out["most"] < out["weight"] <= out["most"]
     assert out["again"] == 200 and out["cancel"] == 200 and out["workers"] > 5
@@ -70,43 +72,47 @@
 
 
 def test_without_the_param_nothing_is_refused_for_memory():
-    w, up = world()
+    sim, up = world()
 
     async def go():
-        _, d = await up()
-        assert d.room_for(10**12)
-        d.params.memory_mb = 64
-        assert not d.room_for(10**12) and d.room_for(1000)
-        d.coming = 64 << 18
-        assert not d.room_for(1000)
+        _, primary = await up()
+        assert primary.room_for(10**12)
+        primary.params.memory_mb = 64
+        assert not primary.room_for(10**12) and primary.room_for(1000)
+        primary.coming = 64 << 18
+        assert not primary.room_for(1000)
 
-    w.run(go())
+    sim.run(go())
 
 
 def test_names_that_are_kept_count_as_well():
-    w, up = world(memory_mb=64)
+    sim, up = world(memory_mb=64)
 
     async def go():
-        _, d = await up()
-        d.record.names = {str(n): [0, "", ""] for n in range((64 << 18) // constants.NAME_BYTES)}
-        assert not d.room_for(1000)
+        _, primary = await up()
+        primary.record.names = {
+            str(index): [0, "", ""] for index in range((64 << 18) // constants.NAME_BYTES)
+        }
+        assert not primary.room_for(1000)
 
-    w.run(go())
+    sim.run(go())
 
 
 def test_a_late_primary_refuses_reads_and_takes_reports():
-    w, up = world()
+    sim, up = world()
     out = {}
 
     async def go():
-        _, d = await up()
-        d.lag = 2 * constants.LAG_SHUT
-        for op, b in (("read", {"name": "x"}), ("list", {}), ("count", {"lane": "tiles"})):
-            d.serve(op=op, request=b, caller="m", callback=lambda o, op=op: out.setdefault(op, o))
-        d.serve(op="leave", request={"id": "w1", "boot": "b"}, caller="m", callback=lambda o: None)
-        out["held"] = [x[0][0] for x in d.holding]
-
-    w.run(go())
+        _, primary = await up()
+        primary.lag = 2 * constants.LAG_SHUT
+        for op, request in (("read", {"name": "x"}), ("list", {}), ("count", {"lane": "tiles"})):
+            primary.serve(
+                op=op, request=request, caller="m", callback=lambda result, op=op: out.setdefault(op, result)
+            )
+        primary.serve(op="leave", request={"id": "w1", "boot": "b"}, caller="m", callback=lambda result: None)
+        out["held"] = [x[0][0] for x in primary.holding]
+
+    sim.run(go())
     assert all(isinstance(out[x], Full) and out[x].after >= 1 for x in ("read", "list", "count"))
     assert out["held"] == ["leave"]
 
@@ -121,15 +127,18 @@
     ],
 )
 def test_the_platforms_limits_are_the_products_params(tmp_path, limits, want):
-    d = boot.read_settings(
-        path=write(tmp_path, {**{a: b for a, b in SETTINGS.items() if a != "limits"}, "limits": limits})
+    settings = boot.read_settings(
+        path=write(
+            tmp_path,
+            {**{name: value for name, value in SETTINGS.items() if name != "limits"}, "limits": limits},
+        )
     )
-    p = boot.params_of(d, role="mast")
-    assert (p.memory_mb, p.descriptors) == want
+    params = boot.params_of(settings, role="mast")
+    assert (params.memory_mb, params.descriptors) == want
 
 
 def test_the_operators_limits_are_in_the_products_terms():
-    c = {
+    configuration = {
         "notes": {
             "limits": {
                 "maxHeaderBytes": 16384,
@@ -140,7 +149,7 @@
             }
         }
     }
-    assert front.limits_of(c) == {"headerMs": 3000, "headerBytes": 16384, "bodyBytes": 262144}
+    assert front.limits_of(configuration) == {"headerMs": 3000, "headerBytes": 16384, "bodyBytes": 262144}
     assert front.limits_of({}) == {}
 
 
@@ -154,9 +163,9 @@
 def test_a_job_of_too_many_steps_is_refused_before_they_are_looked_at(make):
     tracemalloc.start()
     try:
-        with pytest.raises(Raised) as e:
+        with pytest.raises(Raised) as raised:
             make()
-        assert isinstance(e.value.problem, BadInput) and len(e.value.problem.errors) == 1
+        assert isinstance(raised.value.problem, BadInput) and len(raised.value.problem.errors) == 1
         assert tracemalloc.get_traced_memory()[1] < 2 << 20
     finally:
         tracemalloc.stop()
--- a/tests/test_nevers.py
+++ b/tests/test_nevers.py
@@ -1,6 +1,6 @@
-"""For every "never" of the brief: a version of the daemons without the protection,
-the faults it is meant for, and what the checker must find. The same seeds through
-the real daemons must be clean. Versions played against each other."""
+"""For each thing that must never happen: a build of the daemons without the protection against it, the
+faults that the protection is for, and the rule that the checker must report. The same seeds with the
+real daemons must be clean."""
 
 import asyncio
 from functools import cache
@@ -17,38 +17,40 @@
 
 
 def play(build, seed, kinds):
-    w = World(seed=seed, shape=SHAPES["cymylau"], build=build, masts=3)
+    """Runs a fault campaign on a build: five faults of these kinds, at times drawn from the seed."""
+    world = World(seed=seed, shape=SHAPES["cymylau"], build=build, masts=3)
     plan = schedule(seed=seed, kinds=list(kinds), n=5, start=3.0, end=13.0)
-    return storm.run(seed=seed, plan=plan, load=14.0, world=w, calm=16.0)
+    return storm.run(seed=seed, plan=plan, load=14.0, world=world, calm=16.0)
 
 
 @cache
 def real(seed, kinds):
-    s = play(W.REAL, seed, kinds)
-    assert not [x for x in s.log if "HH106" in x or "HH111" in x]
-    return [(b.rule, b.text) for b in s.bad]
+    """Violations of the real daemons under the same faults."""
+    run = play(W.REAL, seed, kinds)
+    assert not [line for line in run.log if "HH106" in line or "HH111" in line]
+    return [(violation.rule, violation.text) for violation in run.bad]
 
 
-R = W.with_record
+with_record = W.with_record
 NEVERS = [
-    ("second-job", R(W.NoNames, desk=W.ForgetfulDesk), ("kill_primary", "slow_net"), 1),
+    ("second-job", with_record(W.NoNames, desk=W.ForgetfulDesk), ("kill_primary", "slow_net"), 1),
     ("twice", W.REAL | {"desk": W.HastyDesk}, ("mate_cut",), 8),
-    ("too-early", R(W.AllAtOnce), ("burst",), 1),
-    ("too-early", R(W.Early), ("timed",), 1),
-    ("over-room", R(W.NoRoom), ("burst",), 1),
-    ("wrong-worker", R(W.AnyRack), ("racked",), 1),
-    ("crowded", R(W.NoSpread), ("burst",), 1),
-    ("over-failures", R(W.Stubborn), ("timed",), 1),
+    ("too-early", with_record(W.AllAtOnce), ("burst",), 1),
+    ("too-early", with_record(W.Early), ("timed",), 1),
+    ("over-room", with_record(W.NoRoom), ("burst",), 1),
+    ("wrong-worker", with_record(W.AnyRack), ("racked",), 1),
+    ("crowded", with_record(W.NoSpread), ("burst",), 1),
+    ("over-failures", with_record(W.Stubborn), ("timed",), 1),
     ("refused-runs", W.REAL | {"desk": W.SaysNoDoesIt}, ("burst",), 1),
-    ("cancelled-starts", R(W.DeafToCancel), ("cancels",), 1),
-    ("leaving-starts", R(W.NoLeaving), ("mate_leave",), 5),
+    ("cancelled-starts", with_record(W.DeafToCancel), ("cancels",), 1),
+    ("leaving-starts", with_record(W.NoLeaving), ("mate_leave",), 5),
     ("forgotten", W.REAL | {"almanac": W.Unsynced}, ("power_all",), 1),
     ("forgotten", W.REAL | {"almanac": W.Alone}, ("split_leader",), 5),
-    ("failed-without-cause", R(W.Fickle), ("mate_flop",), 1),
-    ("done-too-soon", R(W.FirstIsAll), ("burst",), 1),
+    ("failed-without-cause", with_record(W.Fickle), ("mate_flop",), 1),
+    ("done-too-soon", with_record(W.FirstIsAll), ("burst",), 1),
     ("charter", W.REAL | {"mast": W.OldCharter}, ("edit_storm",), 1),
-    ("charter", R(W.NoBase), ("edit_race",), 1),
-    ("over-limit", R(W.NoLimit), ("edit_race", "burst"), 2),
+    ("charter", with_record(W.NoBase), ("edit_race",), 1),
+    ("over-limit", with_record(W.NoLimit), ("edit_race", "burst"), 2),
 ]
 
 
@@ -56,12 +58,15 @@
     "rule, build, kinds, seed", NEVERS, ids=[f"{r}-{i}" for i, (r, *_) in enumerate(NEVERS)]
 )
 def test_fails_without_the_protection_and_passes_with_it(rule, build, kinds, seed):
-    assert any(rule in {b.rule for b in play(build, seed + k, kinds).bad} for k in (0, 1, 4))
+    assert any(
+        rule in {violation.rule for violation in play(build, seed + offset, kinds).bad}
+        for offset in (0, 1, 4)
+    )
     assert real(seed, kinds) == []
 
 
-# Each protection taken out by itself, under one seed that shows it (docs/brief.md).
-SHOWN = {
+# Each protection removed by itself, with a seed that shows it.
+SEEDS = {
     "a new boot beats twice": 12,
     "desk looks at its hold": 1,
     "clock looks at its hold": 1,
@@ -82,52 +87,58 @@
 }
 
 
-@pytest.mark.parametrize("name", SHOWN)
+@pytest.mark.parametrize("name", SEEDS)
 def test_without_one_protection_and_with_it(name):
     build, kinds, want = parts.PARTS[name]
     assert any(
-        want in ("any", b.rule) for k in (0, 1, 2) for b in parts.play(build, SHOWN[name] + k, kinds).bad
+        want in ("any", violation.rule)
+        for offset in (0, 1, 2)
+        for violation in parts.play(build, SEEDS[name] + offset, kinds).bad
     )
-    assert [(b.rule, b.text) for b in parts.play(W.REAL, SHOWN[name], kinds).bad] == []
+    assert [
+        (violation.rule, violation.text) for violation in parts.play(W.REAL, SEEDS[name], kinds).bad
+    ] == []
 
 
 def deposed(build):
-    """A primary that slept through its successor's start gives up a worker at work, with a
-    stamp that it asks for now: (whether its turn counted, the problem, starts of six tasks,
-    rules broken)."""
-    w = World(seed=3, shape=SHAPES["cymylau"], masts=1, build=build)
+    """A primary that was frozen while its successor started reports a working worker as lost, in a batch
+    with a fresh stamp: (whether the batch was applied, the failure, number of starts of six tasks, rules
+    that are broken)."""
+    world = World(seed=3, shape=SHAPES["cymylau"], masts=1, build=build)
     body = {"lane": "tiles", "steps": [step("a", "tile", 4000, tasks=6, spread={"perWorker": 1})]}
 
     async def go():
-        w.start_all()
-        op, req = w.operator(tag="op"), w.requester(tag="r")
-        await op.found(lanes=w.shape.lanes)
-        w.add_crew()
+        world.start_all()
+        operator, caller = world.operator(tag="op"), world.requester(tag="r")
+        await operator.found(lanes=world.shape.lanes)
+        world.add_crew()
         await asyncio.sleep(3)
-        old = w.who("desk", "primary")[0]
-        a = w.nodes[old].daemon
-        w.pause(old)
-        while w.who("desk", "primary") in ([], [old]):
+        deposed_name = world.who("desk", "primary")[0]
+        primary = world.nodes[deposed_name].daemon
+        world.pause(deposed_name)
+        while world.who("desk", "primary") in ([], [deposed_name]):
             await asyncio.sleep(0.1)
-        await req.send(body=body, name="j")
+        await caller.send(body=body, name="j")
         await asyncio.sleep(1)
-        w.pause(old, on=False)
-        i = sorted(i for i, m in w.mates.items() if m.tasks and m.keeps)[0]
-        t = w.nodes[old].run(a.commit(events=[["lost", i, w.mates[i].boot]]))
-        await asyncio.wait([t])
+        world.pause(deposed_name, on=False)
+        worker = sorted(worker for worker, mate in world.mates.items() if mate.tasks and mate.keeps)[0]
+        commit = world.nodes[deposed_name].run(
+            primary.commit(events=[["lost", worker, world.mates[worker].boot]])
+        )
+        await asyncio.wait([commit])
         await asyncio.sleep(8)
-        return t.result(), type(a.last_problem).__name__ if t.result() is None else ""
+        return commit.result(), type(primary.last_problem).__name__ if commit.result() is None else ""
 
-    done, problem = w.run(go())
+    done, problem = world.run(go())
     return (
         done is not None,
         problem,
-        sum(r["ev"] == "start" for r in w.hist.rows),
-        {b.rule for b in judge(w.hist.rows)[0]},
+        sum(row["ev"] == "start" for row in world.hist.rows),
+        {violation.rule for violation in judge(world.hist.rows)[0]},
     )
 
 
 def test_a_deposed_primarys_turn_with_a_fresh_stamp():
     assert deposed(W.REAL) == (False, "OldEpoch", 6, set())
-    # a task at work begun anew; whether its stop comes in time first is luck
-    assert deposed(R(parts.P.NoEpochs)) in ((True, "", 7, set()), (True, "", 7, {"twice"}))
+    # a running task is started again; whether its stop comes in time depends on the order of messages
+    assert deposed(with_record(parts.P.NoEpochs)) in ((True, "", 7, set()), (True, "", 7, {"twice"}))
--- a/tests/test_reported_ends.py
+++ b/tests/test_reported_ends.py
@@ -1,9 +1,9 @@
-"""Ends that workers report, while the batches that are to record them are refused. Guards against TWICE on
-mandina-lima-large (docs/incidents/started-after-done.md): a good end was forgotten with the batch that was
-refused, its attempt counted as never begun, and its task was started again."""
+"""Ends that workers report while the batches that should record them are refused. Guards against running a
+task twice, as on mandina-lima-large (docs/incidents/started-after-done.md): a success was forgotten with the
+refused batch, its attempt counted as never started, and its task was started again."""
 
 import asyncio
-from types import SimpleNamespace as Bag
+from types import SimpleNamespace
 
 import pytest
 from test_level_two import made, runs, step
@@ -17,11 +17,14 @@
 
 
 class Desk(TurnsMixin, BeatsMixin):
-    """A primary's beats and batches over a record; `refusal` is what becomes of its batches, if not None."""
+    """A primary that handles heartbeats and commits batches; `refusal`: failure of its batches, if any."""
 
     def __init__(self, record):
-        self.record, self.t, self.refusal = record, 10.0, None
-        self.seam, self.params = Bag(now=lambda: self.t), Bag(hold_ms=6000, margin_ms=1500)
+        self.record, self.time_s, self.refusal = record, 10.0, None
+        self.seam, self.params = (
+            SimpleNamespace(now=lambda: self.time_s),
+            SimpleNamespace(hold_ms=6000, margin_ms=1500),
+        )
         self.epoch, self.leaving, self.until, self.primary_now = 1, False, 99.0, True
         self.sessions, self.beat_slab, self.judged, self.windows = {}, Slab(cap=64), {}, {}
         self.gangs_taken_back, self.said = set(), []
@@ -34,128 +37,128 @@
         return NotPrimary()
 
     def clock_ms(self):
-        return int(self.t * 1000)
+        return int(self.time_s * 1000)
 
     def say(self, event, **fields):
         self.said.append((event.no, fields))
 
-    def quiet(self, **_):
+    def do_nothing(self, **_):
         pass
 
-    look_at_pace = copy_silent = move_in_time = say_waits = lift_needed = look_at_health = quiet
-    lift_probation = quiet
+    look_at_pace = copy_silent = move_in_time = say_waits = lift_needed = look_at_health = do_nothing
+    lift_probation = do_nothing
 
     async def reread(self):
-        return True  # the batch was not taken
+        return True  # the batch was not applied
 
     async def commit(self, *, events):
         if self.refusal is not None:
             self.last_problem = self.refusal
             return None
-        return [(result, 0) for result in self.record.do(*events, ms=self.clock_ms())]
+        return [(event_result, 0) for event_result in self.record.do(*events, ms=self.clock_ms())]
 
     def beat(self, worker="w0", *, named=(), ends=(), **more):
-        """One beat of a worker; the sequence rises by itself."""
+        """Sends one heartbeat of a worker, with the next sequence number."""
         session = self.sessions.get(worker)
         seq = session.seq + 1 if session else 1
-        b = {"id": worker, "boot": "1", "seq": seq, "keepsHold": True}
+        request = {"id": worker, "boot": "1", "seq": seq, "keepsHold": True}
         self.on_beat(
-            request=b | {"named": named, "ends": ends} | more, callback=lambda o: None, caller=worker
+            request=request | {"named": named, "ends": ends} | more, callback=lambda o: None, caller=worker
         )
 
     async def batch(self, *, refusal=None):
-        """What is held goes into a batch, which is taken or refused."""
+        """Puts the events that are held into a batch, which is applied or refused."""
         self.refusal = refusal
         items = self.next_items()
-        await self.one_turn(items=items, events=[ev for ev, _ in items])
+        await self.one_turn(items=items, events=[event for event, _ in items])
 
     def look(self):
-        self.look_after(now=self.t, ms=self.clock_ms())
+        self.look_after(now=self.time_s, ms=self.clock_ms())
 
 
-def known(*, steps, leaves=True, **kw):
-    """A primary that has heard w0 for a while, whose attempts began; w0 leaves."""
+def primary_with_attempt(*, steps, leaves=True, **kw):
+    """A primary that has heard w0 for a while, with a started attempt there; w0 is leaving."""
     desk = Desk(made(steps=steps, **kw))
     desk.record.do(["grant", "j/0.0/0", "w0"])
     if leaves:
         desk.record.do(["leave", "w0", "1"])
     desk.beat(named=[("j/0.0/0", 1, "", 5)])
-    desk.t += 3.0
+    desk.time_s += 3.0
     return desk
 
 
-def played(scenario):
+def run_scenario(scenario):
     return asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("refusal", REFUSALS)
 def test_a_good_end_whose_batch_was_refused_is_not_taken_for_an_attempt_that_never_began(refusal):
     async def scenario():
-        desk = known(steps=[step()])
+        desk = primary_with_attempt(steps=[step()])
         desk.beat(ends=[(1, "j/0.0/0", 1, "ok", "")])
         await desk.batch(refusal=refusal)
-        desk.look()  # before the worker's next beat
+        desk.look()  # before the worker's next heartbeat
         await desk.batch()
         return desk
 
-    desk = played(scenario)
+    desk = run_scenario(scenario)
     assert desk.record.jobs["j"].tasks["j/0.0/0"].state == "done"
 
 
 @pytest.mark.parametrize("refusal", REFUSALS)
 def test_an_end_whose_batch_was_refused_goes_into_the_next_one_without_a_further_beat(refusal):
     async def scenario():
-        desk = known(steps=[step()], leaves=False)
+        desk = primary_with_attempt(steps=[step()], leaves=False)
         desk.beat(ends=[(1, "j/0.0/0", 1, "ok", "")])
         await desk.batch(refusal=refusal)
         await desk.batch()
         return desk
 
-    desk = played(scenario)
+    desk = run_scenario(scenario)
     assert desk.record.jobs["j"].state == "done"
 
 
 def test_a_worker_that_goes_has_its_reported_ends_recorded_before_it_is_given_up():
     async def scenario():
-        desk = known(steps=[step()])
+        desk = primary_with_attempt(steps=[step()])
         desk.beat(ends=[(1, "j/0.0/0", 1, "ok", "")], leaves=True)
-        items = desk.next_items()  # a batch is under way
+        items = desk.next_items()  # a batch is being committed
         desk.beat(bye=True, seq=1 << 60)
         desk.refusal = NotSynced(tries=0)
-        await desk.one_turn(items=items, events=[ev for ev, _ in items])
+        await desk.one_turn(items=items, events=[event for event, _ in items])
         await desk.batch()
         await desk.batch()
         return desk
 
-    desk = played(scenario)
+    desk = run_scenario(scenario)
     assert desk.record.jobs["j"].state == "done" and "w0" not in desk.record.workers
 
 
 def test_a_worker_whose_lease_ran_out_has_its_reported_ends_recorded_first():
     async def scenario():
-        desk = known(steps=[step()], leaves=False)
+        desk = primary_with_attempt(steps=[step()], leaves=False)
         desk.beat(ends=[(1, "j/0.0/0", 1, "ok", "")])
         items = desk.next_items()
-        desk.t += 9.0
+        desk.time_s += 9.0
         desk.look()
         desk.refusal = NotSynced(tries=0)
-        await desk.one_turn(items=items, events=[ev for ev, _ in items])
+        await desk.one_turn(items=items, events=[event for event, _ in items])
         await desk.batch()
         desk.look()
         await desk.batch()
         return desk
 
-    desk = played(scenario)
+    desk = run_scenario(scenario)
     assert desk.record.jobs["j"].state == "done" and "w0" not in desk.record.workers
 
 
 def test_a_start_is_not_told_again_while_its_attempt_is_being_ended_as_never_begun():
-    # two runs at once: the evacuation that it was taken back for was withdrawn before the batch
+    # otherwise two runs at once: the evacuation that revoked it ended before the batch was applied
     async def scenario():
         desk = Desk(made(steps=[step()]))
         desk.record.do(["grant", "j/0.0/0", "w0"], ["evacuate", "z0", True])
         desk.beat()
-        desk.t += 3.0
+        desk.time_s += 3.0
         desk.beat()
         desk.look()
         desk.record.do(["evacuate", "z0", False])
@@ -163,28 +166,28 @@
         await desk.batch()
         return desk, told
 
-    desk, told = played(scenario)
+    desk, told = run_scenario(scenario)
     assert told == [] and not desk.record.legs
 
 
 def test_no_more_is_held_once_the_primary_has_lost_its_lease():
     async def scenario():
-        desk = known(steps=[step()], leaves=False)
+        desk = primary_with_attempt(steps=[step()], leaves=False)
         desk.beat(ends=[(1, "j/0.0/0", 1, "ok", "")])
         desk.primary_now = False
         desk.drop_primary()
         return desk
 
-    assert not played(scenario).holding
+    assert not run_scenario(scenario).holding
 
 
 @pytest.mark.parametrize("ended, said", [(["stopped", "never began"], [406]), (["ok", ""], [])])
 def test_a_good_end_that_comes_after_the_record_ended_its_attempt_otherwise_is_logged_once(ended, said):
     async def scenario():
-        desk = known(steps=[step(tasks=2)], leaves=False)
+        desk = primary_with_attempt(steps=[step(tasks=2)], leaves=False)
         desk.record.do(["end", runs(desk.record)[0], *ended])
         for _ in range(3):
             desk.beat(ends=[(1, "j/0.0/0", 1, "ok", "")])
         return desk
 
-    assert [number for number, _ in played(scenario).said] == said
+    assert [number for number, _ in run_scenario(scenario).said] == said
--- a/tests/test_reservations_record.py
+++ b/tests/test_reservations_record.py
@@ -1,6 +1,6 @@
-"""Reservations in the record: confirmed whole or refused with a reason, never oversold
-whatever order they come in, known again by id and digest, forgotten after a while, and in
-pictures from level 3 on."""
+"""Reservations in the record: confirmed whole or refused with a reason, never above the limit in whatever
+order they arrive, recognized by id and digest when sent again, forgotten after a while, and part of
+snapshots from level 3 on."""
 
 import random
 
@@ -12,30 +12,30 @@
 from hollowhall.record import Record
 from hollowhall.record.reservation_bodies import check_reservation, check_shorter
 
-T = 1000  # ms; where the played record's time begins
+T = 1000  # ms; first time of the record in these tests
 ROW = {"weight": 1.0, "limit": 0, "urgency": 5}
 
 
 def made(*, level=3, workers=4, gpus=8):
-    r = Played()
-    for n in range(level):
-        r.enact(op="level", d=n + 1)
-    r.enact(op="edit", d={"base": 1, "rows": {"a": ROW, "b": ROW}, "whole": True})
-    for i in range(workers):
-        r.do(
+    record = Played()
+    for level_index in range(level):
+        record.enact(op="level", d=level_index + 1)
+    record.enact(op="edit", d={"base": 1, "rows": {"a": ROW, "b": ROW}, "whole": True})
+    for index in range(workers):
+        record.do(
             [
                 "worker",
-                f"w{i}",
+                f"w{index}",
                 "1",
                 "k",
-                f"z{i % 2}",
-                f"r{i}",
+                f"z{index % 2}",
+                f"r{index}",
                 [64, 64, gpus],
                 True,
-                [f"l{i % 2}"] if level > 1 else [],
+                [f"l{index % 2}"] if level > 1 else [],
             ]
         )
-    return r
+    return record
 
 
 def body(**kw):
@@ -49,18 +49,18 @@
     } | kw
 
 
-def reserve(r, id, percent=50, **kw):
-    return r.do(["reserve", id, *check_reservation(body(**kw)), percent])[0]
+def reserve(record, name, percent=50, **kw):
+    return record.do(["reserve", name, *check_reservation(body(**kw)), percent])[0]
 
 
 def test_the_sum_of_what_overlaps_stays_within_the_share():
-    r = made()
-    assert reserve(r, "x", count=10) == ["new", "confirmed"]
-    assert reserve(r, "y", count=7) == ["no", "capacity", 6]
-    assert reserve(r, "y", count=6) == ["new", "confirmed"]
-    assert reserve(r, "z", count=1) == ["no", "capacity", 0]
-    assert reserve(r, "z", count=16, fromMs=T + 20_000, untilMs=T + 30_000) == ["new", "confirmed"]
-    assert reserve(r, "u", count=1, percent=60, fromMs=T + 19_999) == ["new", "confirmed"]
+    record = made()
+    assert reserve(record, "x", count=10) == ["new", "confirmed"]
+    assert reserve(record, "y", count=7) == ["no", "capacity", 6]
+    assert reserve(record, "y", count=6) == ["new", "confirmed"]
+    assert reserve(record, "z", count=1) == ["no", "capacity", 0]
+    assert reserve(record, "z", count=16, fromMs=T + 20_000, untilMs=T + 30_000) == ["new", "confirmed"]
+    assert reserve(record, "u", count=1, percent=60, fromMs=T + 19_999) == ["new", "confirmed"]
 
 
 @pytest.mark.parametrize(
@@ -78,126 +78,138 @@
     ],
 )
 def test_what_is_refused_says_why_and_leaves_nothing(kw, why):
-    r = made()
-    assert reserve(r, "x", **kw)[:2] == ["no", why]
-    assert r.reservations == {}
+    record = made()
+    assert reserve(record, "x", **kw)[:2] == ["no", why]
+    assert record.reservations == {}
 
 
 def test_a_window_that_began_long_ago_is_past_and_one_just_begun_is_not():
-    r = made()
-    r.do(["open"], ms=200_000)
-    assert reserve(r, "x", fromMs=T + 100_000, untilMs=T + 10**6)[1] == "past"
-    assert reserve(r, "x", fromMs=T + 190_000, untilMs=T + 10**6)[0] == "new"
+    record = made()
+    record.do(["open"], ms=200_000)
+    assert reserve(record, "x", fromMs=T + 100_000, untilMs=T + 10**6)[1] == "past"
+    assert reserve(record, "x", fromMs=T + 190_000, untilMs=T + 10**6)[0] == "new"
 
 
 def test_a_shape_counts_by_whole_workers_and_zones_and_labels_by_theirs():
-    r = made()
-    assert reserve(r, "x", 100, room={"cores": 0, "gpus": 5}, count=5) == ["no", "capacity", 4]
-    assert reserve(r, "x", 100, room={"cores": 0, "gpus": 5}, count=4)[0] == "new"
-    assert reserve(r, "y", 100, zone="z0", count=7) == ["no", "capacity", 6]
-    assert reserve(r, "y", 100, zone="z0", label="l1", count=1)[1] == "kind"
-    assert reserve(r, "y", 100, label="l1", count=6)[0] == "new"
+    record = made()
+    assert reserve(record, "x", 100, room={"cores": 0, "gpus": 5}, count=5) == ["no", "capacity", 4]
+    assert reserve(record, "x", 100, room={"cores": 0, "gpus": 5}, count=4)[0] == "new"
+    assert reserve(record, "y", 100, zone="z0", count=7) == ["no", "capacity", 6]
+    assert reserve(record, "y", 100, zone="z0", label="l1", count=1)[1] == "kind"
+    assert reserve(record, "y", 100, label="l1", count=6)[0] == "new"
 
 
 def test_known_by_id_and_digest_and_released_stays_released():
-    r = made()
-    assert reserve(r, "x")[0] == "new" and reserve(r, "x") == ["same", "confirmed"]
-    assert reserve(r, "x", count=3) == ["other", "confirmed"]
-    assert r.do(["release", "x"])[0] == ["ok", "released"] == r.do(["release", "x"])[0]
-    assert reserve(r, "x") == ["same", "released"] and r.do(["release", "q"])[0] == ["none", ""]
-    assert reserve(r, "y", count=16)[0] == "new"  # its room is free again
+    record = made()
+    assert reserve(record, "x")[0] == "new" and reserve(record, "x") == ["same", "confirmed"]
+    assert reserve(record, "x", count=3) == ["other", "confirmed"]
+    assert record.do(["release", "x"])[0] == ["ok", "released"] == record.do(["release", "x"])[0]
+    assert reserve(record, "x") == ["same", "released"] and record.do(["release", "q"])[0] == ["none", ""]
+    assert reserve(record, "y", count=16)[0] == "new"  # its resources are free again
 
 
 def test_shortened_in_time_and_count_never_lengthened():
-    r = made()
-    reserve(r, "x", count=16)
-    assert r.do(["shorten", "x", T + 30_000, None])[0] == ["no", "larger", 0]
-    assert r.do(["shorten", "x", None, 17])[0] == ["no", "larger", 0]
-    assert r.do(["shorten", "x", T + 5_000, None])[0] == ["no", "window", 0]
-    assert r.do(["shorten", "x", T + 15_000, 10])[0] == ["ok", "confirmed"]
-    assert r.do(["shorten", "x", T + 15_000, 10])[0] == ["ok", "confirmed"]
-    assert reserve(r, "y", count=6)[0] == "new" and reserve(r, "x", count=16)[0] == "same"
-    assert reserve(r, "z", count=10, fromMs=T + 15_000)[0] == "new"
-    r.do(["open"], ms=60_000)
-    assert r.do(["shorten", "x", None, 1])[0] == ["no", "over", 0]
+    record = made()
+    reserve(record, "x", count=16)
+    assert record.do(["shorten", "x", T + 30_000, None])[0] == ["no", "larger", 0]
+    assert record.do(["shorten", "x", None, 17])[0] == ["no", "larger", 0]
+    assert record.do(["shorten", "x", T + 5_000, None])[0] == ["no", "window", 0]
+    assert record.do(["shorten", "x", T + 15_000, 10])[0] == ["ok", "confirmed"]
+    assert record.do(["shorten", "x", T + 15_000, 10])[0] == ["ok", "confirmed"]
+    assert reserve(record, "y", count=6)[0] == "new" and reserve(record, "x", count=16)[0] == "same"
+    assert reserve(record, "z", count=10, fromMs=T + 15_000)[0] == "new"
+    record.do(["open"], ms=60_000)
+    assert record.do(["shorten", "x", None, 1])[0] == ["no", "over", 0]
 
 
 def test_workers_that_leave_or_stand_in_an_evacuated_zone_carry_nothing_new():
-    r = made()
-    r.do(["leave", "w0", "1"], ["evacuate", "z1", True])
-    assert reserve(r, "x", count=5) == ["no", "capacity", 4]
+    record = made()
+    record.do(["leave", "w0", "1"], ["evacuate", "z1", True])
+    assert reserve(record, "x", count=5) == ["no", "capacity", 4]
 
 
 def test_ended_and_released_ones_are_forgotten_after_a_while():
-    r = made()
-    reserve(r, "x")
-    reserve(r, "y", untilMs=T + 10**7)
-    r.do(["release", "y"])
+    record = made()
+    reserve(record, "x")
+    reserve(record, "y", untilMs=T + 10**7)
+    record.do(["release", "y"])
     kept = constants.RULES[3]["reservation_kept_ms"]
-    r.do(["forget"], ms=20_000 + kept)
-    assert set(r.reservations) == {"x", "y"}
-    r.do(["forget"], ms=20_100 + kept)
-    assert set(r.reservations) == {"y"}  # a late resend must still find it released
-    r.do(["forget"], ms=10**7 + 100 + kept)
-    assert r.reservations == {}
+    record.do(["forget"], ms=20_000 + kept)
+    assert set(record.reservations) == {"x", "y"}
+    record.do(["forget"], ms=20_100 + kept)
+    assert set(record.reservations) == {"y"}  # a late resend must still find it released
+    record.do(["forget"], ms=10**7 + 100 + kept)
+    assert record.reservations == {}
 
 
 def test_pictures_carry_them_at_level_three_only_and_older_levels_know_none():
-    r = made(level=2)
-    assert reserve(r, "x") == ["no", "level", 0] and "reservations" not in r.pack()
-    r.enact(op="level", d=3)
-    assert reserve(r, "x")[0] == "new"
-    s = Record()
-    s.load(r.pack())
-    assert s.digest() == r.digest() and s.reservations == r.reservations
-    assert s.enact(op="turn", d={"e": 1, "c": 1, "s": r.last + 1, "v": [["release", "x"]]}).ok
-    assert s.sum != r.sum
+    record = made(level=2)
+    assert reserve(record, "x") == ["no", "level", 0] and "reservations" not in record.pack()
+    record.enact(op="level", d=3)
+    assert reserve(record, "x")[0] == "new"
+    loaded = Record()
+    loaded.load(record.pack())
+    assert loaded.digest() == record.digest() and loaded.reservations == record.reservations
+    assert loaded.enact(op="turn", d={"e": 1, "c": 1, "s": record.last + 1, "v": [["release", "x"]]}).ok
+    assert loaded.sum != record.sum
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_racing_reservations_are_never_oversold(seed):
-    """Random ones come, go and shrink while workers come and go. At no moment does what a
-    confirmation let stand exceed the share, by a sum of its own, and whoever applies the
-    same entries holds the same."""
-    rng, r, twin = random.Random(seed), made(workers=6), made(workers=6)
+    """Random reservations are made, released and reduced while workers join and leave. After each
+    confirmation their sum, computed here, is within the share at every moment; and a second record that
+    applies the same entries is equal."""
+    draw, record, twin = random.Random(seed), made(workers=6), made(workers=6)
     ms = 0
-    for n in range(150):
-        ms += rng.randrange(200)
-        x = rng.random()
-        if x < 0.7:
-            b = T + ms + rng.randrange(20_000)
-            ev = [
+    for index in range(150):
+        ms += draw.randrange(200)
+        chance = draw.random()
+        if chance < 0.7:
+            begin = T + ms + draw.randrange(20_000)
+            event = [
                 "reserve",
-                f"x{rng.randrange(60)}",
+                f"x{draw.randrange(60)}",
                 *check_reservation(
                     body(
-                        count=rng.randint(1, 12),
-                        room={"cores": rng.randint(0, 8), "gpus": rng.randint(1, 4)},
-                        fromMs=b,
-                        untilMs=b + rng.randint(1, 10_000),
+                        count=draw.randint(1, 12),
+                        room={"cores": draw.randint(0, 8), "gpus": draw.randint(1, 4)},
+                        fromMs=begin,
+                        untilMs=begin + draw.randint(1, 10_000),
                     )
                 ),
                 50,
             ]
-        elif x < 0.85:
-            ev = [rng.choice(["release", "shorten"]), f"x{rng.randrange(60)}"]
-            ev += [None, rng.randint(1, 4)] if ev[0] == "shorten" else []
+        elif chance < 0.85:
+            event = [draw.choice(["release", "shorten"]), f"x{draw.randrange(60)}"]
+            event += [None, draw.randint(1, 4)] if event[0] == "shorten" else []
         else:
-            i = f"w{rng.randrange(6)}"
-            ev = (
-                ["lost", i, r.workers[i].boot]
-                if i in r.workers and rng.random() < 0.5
-                else ["worker", i, f"b{n}", "k", "z0", "r", [64, 64, 8], True]
+            worker_id = f"w{draw.randrange(6)}"
+            event = (
+                ["lost", worker_id, record.workers[worker_id].boot]
+                if worker_id in record.workers and draw.random() < 0.5
+                else ["worker", worker_id, f"b{index}", "k", "z0", "r", [64, 64, 8], True]
             )
-        out = r.do(ev, ms=ms)
-        assert out == twin.do(ev, ms=ms)
-        if out[0][0] != "new":
+        results = record.do(event, ms=ms)
+        assert results == twin.do(event, ms=ms)
+        if results[0][0] != "new":
             continue
-        a, most = r.reservations[ev[1]], sum(w.room[2] for w in r.workers.values()) // 2
-        live = [y for y in r.reservations.values() if y.state == "confirmed"]
-        for t in range(a.begin, a.until, 50):
-            assert sum(y.count * y.room[2] for y in live if y.begin <= t < y.until) <= most
-    assert r.digest() == twin.digest() and len(r.reservations) > 5
+        confirmed, most = (
+            record.reservations[event[1]],
+            sum(worker.room[2] for worker in record.workers.values()) // 2,
+        )
+        live = [
+            reservation for reservation in record.reservations.values() if reservation.state == "confirmed"
+        ]
+        for moment in range(confirmed.begin, confirmed.until, 50):
+            assert (
+                sum(
+                    reservation.count * reservation.room[2]
+                    for reservation in live
+                    if reservation.begin <= moment < reservation.until
+                )
+                <= most
+            )
+    assert record.digest() == twin.digest() and len(record.reservations) > 5
 
 
 @pytest.mark.parametrize(
@@ -213,8 +225,8 @@
     ],
 )
 def test_bad_bodies_are_refused_with_the_field(kw):
-    with pytest.raises(Raised) as e:
+    with pytest.raises(Raised) as raised:
         check_reservation(body(**kw))
-    assert e.value.problem.errors
+    assert raised.value.problem.errors
     with pytest.raises(Raised):
         check_shorter({"count": 0} if "count" in kw else {})
--- a/tests/test_taken_back.py
+++ b/tests/test_taken_back.py
@@ -1,5 +1,6 @@
-"""What was granted and has not begun when a tenant's limit is lowered. Guards against QUOTA: a worker that
-was cut off began, once it was heard again, what had been granted to it under the limit before."""
+"""Attempts that are granted but not started when a tenant's limit is lowered are revoked. Guards against a
+tenant above its limit: a worker that had been unreachable started, once it was heard again, what had been
+granted to it under the earlier limit."""
 
 from tenant_store import TenantStore, tenant
 
@@ -8,7 +9,7 @@
 
 
 class Desk(OrdersMixin):
-    """The primary's orders over a record; stops that it holds for a turn are kept."""
+    """A primary's orders to workers; `held` collects the events that it holds for its next batch."""
 
     def __init__(self, store):
         self.record, self.gangs_taken_back, self.held = store.record, set(), []
@@ -16,67 +17,69 @@
     def hold_event(self, *, event, callback=None):
         self.held.append(event)
 
-    def orders_for(self, worker, begun=()):
+    def orders_for(self, worker, started=()):
         runs = self.record.workers[worker].runs
         return self.orders(
-            worker_id=worker, session=WorkerSession(boot="1", running={r for r in runs if r in begun})
+            worker_id=worker, session=WorkerSession(boot="1", running={run for run in runs if run in started})
         )
 
 
-def started(limit=4000, **step):
-    s = TenantStore(workers=2, t=tenant(cores=limit))
-    s.job_of("t", **({"tasks": 4} | step))
-    s.grants()
-    return s, sorted(s.record.legs)
+def granted(limit=4000, **step):
+    store = TenantStore(workers=2, t=tenant(cores=limit))
+    store.job_of("t", **({"tasks": 4} | step))
+    store.grants()
+    return store, sorted(store.record.legs)
 
 
 def test_what_has_not_begun_is_taken_back_when_the_limit_is_lowered():
-    # QUOTA in a simulated day, workers_go_silent_with_what_they_run, seed 106
-    s, runs = started()
-    begun = {r for r in runs if s.record.legs[r].worker == "w0"}
-    desk = Desk(s)
+    # found in the simulated day workers_go_silent_with_what_they_run, seed 106
+    store, runs = granted()
+    begun = {run for run in runs if store.record.legs[run].worker == "w0"}
+    desk = Desk(store)
     assert desk.orders_for("w1")[1] == []
-    s.limit(t=tenant(cores=1000))
-    assert desk.orders_for("w0", begun=set(runs[:1])) == (
+    store.limit(t=tenant(cores=1000))
+    assert desk.orders_for("w0", started=set(runs[:1])) == (
         [],
-        sorted(set(s.record.workers["w0"].runs) - {runs[0]}),
+        sorted(set(store.record.workers["w0"].runs) - {runs[0]}),
     )
-    assert desk.orders_for("w0", begun=begun) == ([], [])  # what runs, runs on
+    assert desk.orders_for("w0", started=begun) == ([], [])  # running attempts go on
 
 
 def test_it_starts_after_all_where_the_limit_is_met():
-    s, runs = started()
-    desk = Desk(s)
-    s.limit(t=tenant(cores=4000))
-    starts = [r for w in ("w0", "w1") for r in desk.orders_for(w)[0]]
+    store, runs = granted()
+    desk = Desk(store)
+    store.limit(t=tenant(cores=4000))
+    starts = [run for worker in ("w0", "w1") for run in desk.orders_for(worker)[0]]
     assert sorted(starts) == runs
 
 
 def test_an_attempt_that_is_all_its_tenant_has_is_told_to_start():
-    # larger than the limit, it runs alone; taking it back would repeat for ever
-    s, runs = started(tasks=1)
-    s.limit(t=tenant(cores=500))
-    assert Desk(s).orders_for(s.record.legs[runs[0]].worker) == (runs, [])
+    # a task larger than the limit runs alone; it would be revoked and granted again without end
+    store, runs = granted(tasks=1)
+    store.limit(t=tenant(cores=500))
+    assert Desk(store).orders_for(store.record.legs[runs[0]].worker) == (runs, [])
 
 
 def test_a_gang_of_which_not_all_have_begun_is_stopped_whole():
-    # GANG otherwise: members that have begun would wait for the others and end alone
-    s = TenantStore(workers=2, t=tenant(cores=4000))
-    s.job_of("t", "k")
-    s.grants()
-    s.job_of("t", "g", tasks=2, gang=True)
-    s.do(["gang", "g", "0.0", ["w0", "w1"]])
-    members = sorted(r for r, g in s.record.legs.items() if g.job == "g")
-    s.limit(t=tenant(cores=1000))
-    desk = Desk(s)
+    # otherwise members that have started would wait for the others and end as alone
+    store = TenantStore(workers=2, t=tenant(cores=4000))
+    store.job_of("t", "k")
+    store.grants()
+    store.job_of("t", "g", tasks=2, gang=True)
+    store.do(["gang", "g", "0.0", ["w0", "w1"]])
+    members = sorted(run for run, attempt in store.record.legs.items() if attempt.job == "g")
+    store.limit(t=tenant(cores=1000))
+    desk = Desk(store)
     desk.orders_for("w1"), desk.orders_for("w1")
-    assert sorted(ev[1] for ev in desk.held) == members and {ev[2] for ev in desk.held} == {"tenant"}
+    assert sorted(event[1] for event in desk.held) == members and {event[2] for event in desk.held} == {
+        "tenant"
+    }
 
 
 def test_a_gang_that_is_all_its_tenant_has_is_told_to_start():
-    s = TenantStore(workers=2, t=tenant(cores=4000))
-    s.job_of("t", "g", tasks=2, gang=True)
-    s.do(["gang", "g", "0.0", ["w0", "w1"]])
-    s.limit(t=tenant(cores=1500))
-    desk = Desk(s)
+    store = TenantStore(workers=2, t=tenant(cores=4000))
+    store.job_of("t", "g", tasks=2, gang=True)
+    store.do(["gang", "g", "0.0", ["w0", "w1"]])
+    store.limit(t=tenant(cores=1500))
+    desk = Desk(store)
     assert len(desk.orders_for("w0")[0] + desk.orders_for("w1")[0]) == 2 and desk.held == []
--- a/tests/test_unsure.py
+++ b/tests/test_unsure.py
@@ -1,5 +1,5 @@
-"""A request to the store that is tried again: what an earlier attempt may have done is not
-forgotten when the last one was surely not taken."""
+"""A request to the store that is retried: if an earlier try may have been applied, the answer is unsure,
+even if the last try was certainly not applied."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 
 class Answers:
-    """A member that answers from a list, the last one again and again."""
+    """A store member that gives the answers of a list in turn, and then repeats the last one."""
 
     def __init__(self, *outcomes):
         self.left = list(outcomes)
@@ -33,15 +33,15 @@
     ],
 )
 def test_an_attempt_that_may_have_been_taken_is_remembered(outcomes, taken):
-    w, out = World(seed=3, shape=SHAPES["cymylau"], masts=1), {}
+    world, result = World(seed=3, shape=SHAPES["cymylau"], masts=1), {}
 
     async def go():
-        w.start_all()
+        world.start_all()
         await asyncio.sleep(2)
-        d = w.nodes["mast-1"].daemon
-        m = Answers(*outcomes)
-        d.link = lambda *, addr: m
-        out["o"] = await d.store(op="edit", request={}, safe=True, wait=0.2, total=0.5)
+        gateway = world.nodes["mast-1"].daemon
+        member = Answers(*outcomes)
+        gateway.link = lambda *, addr: member
+        result["o"] = await gateway.store(op="edit", request={}, safe=True, wait=0.2, total=0.5)
 
-    w.run(go())
-    assert out["o"].ok if taken is None else out["o"].taken == taken
+    world.run(go())
+    assert result["o"].ok if taken is None else result["o"].taken == taken
