--- a/hollowhall/record/budgets.py
+++ b/hollowhall/record/budgets.py
@@ -125,7 +125,8 @@
 
     def grant_tokens(self, *, tenant, loan, left, now):
         """Takes tokens for one daemon's bucket from the budget: enough to hold twice its recent demand per
-        period or, when the budget is scarce, a share in proportion to the demand of all daemons."""
+        period or, when the budget is scarce, a share in proportion to the demand of all daemons, but up to
+        a `budget_parts`th of it in any case."""
         budget, demand = self.budget_of(tenant=tenant, now=now), loan.demand[tenant]
         wanted = max(self.rule["bucket_least_ms"], 2 * demand) - left
         total = sum(other.demand.get(tenant, 0) for other in self.loans.values())
--- a/hollowhall/record/edits.py
+++ b/hollowhall/record/edits.py
@@ -64,7 +64,7 @@
         return {"tenants": {name: row for name, row in after.items() if row is not None}}
 
     def edit_refusal(self, *, rows, tenants):
-        """A BadInput if rows and tenants would not form a valid configuration; else None or False."""
+        """A BadInput if rows and tenants would not form a valid configuration; else None."""
         return (self.rule["jobs_follow_place"] and shared_places(rows)) or shared_keys(tenants)
 
     def edit(self, change):
