--- a/tests/test_restore.py
+++ b/tests/test_restore.py
@@ -1,12 +1,11 @@
-"""A store restored from one surviving disk: nothing that this disk has is lost, the
-members that are gone stay out, and blank ones can be added again. A disk that holds no
-member is refused."""
+"""A store restored from one surviving disk: nothing on this disk is lost, the lost members stay removed,
+and blank ones can be added. A disk that is not a counting member's is refused."""
 
 import asyncio
 import random
 
 import pytest
-from test_members import change, joiner, settled, until
+from test_members import change, settled, start_joiner, wait_for_members
 
 from hollowhall.base.problems import Raised, Refused
 from hollowhall.check.judge import judge
@@ -17,52 +16,56 @@
 
 
 def test_all_that_one_disk_has_is_served_again():
-    w, out = World(seed=8, shape=SHAPES["cymylau"], masts=2), {}
+    world, seen = World(seed=8, shape=SHAPES["cymylau"], masts=2), {}
 
-    async def go():
-        w.start_all()
-        op, req = w.operator(tag="op"), w.requester(tag="r")
-        await op.found(lanes=w.shape.lanes)
-        w.add_crew()
-        await req.run(mix=w.shape.mix, seconds=6, settle=8)
-        p = w.nodes["almanac-1"].daemon.params
-        rec = w.nodes["almanac-1"].daemon.record
-        out["before"] = {n: j.state for n, j in rec.jobs.items()}, rec.charter
-        for n in ("almanac-1", "almanac-2", "almanac-3"):
-            w.kill(n)
+    async def scenario():
+        world.start_all()
+        operator, client = world.operator(tag="op"), world.requester(tag="r")
+        await operator.found(lanes=world.shape.lanes)
+        world.add_crew()
+        await client.run(mix=world.shape.mix, seconds=6, settle=8)
+        params = world.nodes["almanac-1"].daemon.params
+        record = world.nodes["almanac-1"].daemon.record
+        seen["before"] = {member: j.state for member, j in record.jobs.items()}, record.charter
+        for member in ("almanac-1", "almanac-2", "almanac-3"):
+            world.kill(member)
         await asyncio.sleep(1)
-        w.disks["core-2"].lose()
-        w.disks["core-3"].lose()
-        d = w.disks["core-1"]
-        out["seen"] = await restore(disk=d, params=p, write=False)
-        out["again"] = await restore(disk=d, params=p, write=False)
-        w.start("almanac-1")
+        world.disks["core-2"].lose()
+        world.disks["core-3"].lose()
+        disk = world.disks["core-1"]
+        seen["seen"] = await restore(disk=disk, params=params, write=False)
+        seen["again"] = await restore(disk=disk, params=params, write=False)
+        world.start("almanac-1")
         await asyncio.sleep(4)
-        out["alone"] = w.who("almanac", "leader")
-        w.kill("almanac-1")
-        out["written"] = await restore(disk=d, params=p, write=True)
-        w.start("almanac-1")
+        seen["alone"] = world.who("almanac", "leader")
+        world.kill("almanac-1")
+        seen["written"] = await restore(disk=disk, params=params, write=True)
+        world.start("almanac-1")
         await asyncio.sleep(6)
-        out["leads"] = w.who("almanac", "leader")
-        rec = w.nodes["almanac-1"].daemon.record
-        out["after"] = {n: rec.jobs[n].state for n in out["before"][0]}, rec.charter
-        w.hist.note("fault", what="restored")
-        for n in (4, 5):
-            out[n] = (await change(op, "add", joiner(w, n)))[0]
-            out["v"] = await until(w, op, lambda v, n=n: settled(v) and len(v["voters"]) == n - 2)
-        w.start("almanac-2")  # blank, at an address that is out
-        w.kill("almanac-1")
-        await req.run(mix=w.shape.mix, seconds=4, settle=10)
-        out["two"] = w.who("almanac", "leader"), w.nodes["almanac-2"].daemon.blank
+        seen["leads"] = world.who("almanac", "leader")
+        record = world.nodes["almanac-1"].daemon.record
+        seen["after"] = {member: record.jobs[member].state for member in seen["before"][0]}, record.charter
+        world.hist.note("fault", what="restored")
+        for member in (4, 5):
+            seen[member] = (await change(operator, "add", start_joiner(world, member)))[0]
+            seen["v"] = await wait_for_members(
+                world,
+                operator,
+                lambda members, member=member: settled(members) and len(members["voters"]) == member - 2,
+            )
+        world.start("almanac-2")  # blank, at an address that was removed
+        world.kill("almanac-1")
+        await client.run(mix=world.shape.mix, seconds=4, settle=10)
+        seen["two"] = world.who("almanac", "leader"), world.nodes["almanac-2"].daemon.blank
 
-    w.run(go())
-    assert out["seen"] == out["again"] and out["alone"] == [] and not out["seen"]["written"]
-    assert out["written"]["lost"] == ["10.0.0.2:7000", "10.0.0.3:7000"]
-    assert out["written"]["jobs"] == len(out["before"][0]) > 20
-    assert out["leads"] == ["almanac-1"] and out["after"] == out["before"]
-    assert out[4] == out[5] == 200 and len(out["v"]["voters"]) == 3
-    assert out["two"][0] in (["almanac-4"], ["almanac-5"]) and out["two"][1]
-    assert judge(w.hist.rows)[0] == []
+    world.run(scenario())
+    assert seen["seen"] == seen["again"] and seen["alone"] == [] and not seen["seen"]["written"]
+    assert seen["written"]["lost"] == ["10.0.0.2:7000", "10.0.0.3:7000"]
+    assert seen["written"]["jobs"] == len(seen["before"][0]) > 20
+    assert seen["leads"] == ["almanac-1"] and seen["after"] == seen["before"]
+    assert seen[4] == seen[5] == 200 and len(seen["v"]["voters"]) == 3
+    assert seen["two"][0] in (["almanac-4"], ["almanac-5"]) and seen["two"][1]
+    assert judge(world.hist.rows)[0] == []
 
 
 @pytest.mark.parametrize("hard", [None, {"t": 3, "v": "", "m": False}])
@@ -70,15 +73,15 @@
     from hollowhall.almanac.ring import Ring
     from hollowhall.base.params import Params
 
-    d, p = SimDisk(rng=random.Random(1)), Params(id="a", addr="10.0.0.1:7000", seeds=[])
+    disk, params = SimDisk(rng=random.Random(1)), Params(id="a", addr="10.0.0.1:7000", seeds=[])
 
-    async def go():
+    async def scenario():
         if hard:
-            r = Ring(disk=d, files=p.ring_files, size=p.ring_bytes)
-            r.load()
-            await r.put(hard=hard, es=[])
-        with pytest.raises(Raised) as e:
-            await restore(disk=d, params=p, write=True)
-        return e.value.problem
+            ring = Ring(disk=disk, files=params.ring_files, size=params.ring_bytes)
+            ring.load()
+            await ring.put(hard=hard, es=[])
+        with pytest.raises(Raised) as caught:
+            await restore(disk=disk, params=params, write=True)
+        return caught.value.problem
 
-    assert isinstance(asyncio.run(go()), Refused)
+    assert isinstance(asyncio.run(scenario()), Refused)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,11 +1,11 @@
-"""The store's own safety, in small seeded scenarios: a blank disk, a paused leader,
-a named successor, members that agree."""
+"""Safety of the store in small seeded scenarios: an empty disk, a suspended leader, a leader that hands
+over, and replicas that agree."""
 
 import asyncio
 
 import pytest
-import weak as W
-from weak_parts import LooseReads
+import weak as weaker
+from weak_parts import UnconfirmedReads
 
 from hollowhall.almanac import Almanac
 from hollowhall.sim import storm
@@ -13,133 +13,143 @@
 from hollowhall.standins.shapes import SHAPES
 
 
-class EagerBlank(Almanac):
-    """Counts and votes with an empty disk, as if nothing had been on it."""
+class CountsWhenBlank(Almanac):
+    """Counts and votes with an empty disk, as if nothing had ever been on it."""
 
     async def unblank(self):
         self.blank, self.hard_dirty = False, True
         self.become(role="follower", why="eager")
 
 
-def world(alm=Almanac, seed=4):
-    return World(seed=seed, shape=SHAPES["cymylau"], desks=1, masts=1, build=W.REAL | {"almanac": alm})
+def make_world(build=Almanac, seed=4):
+    return World(seed=seed, shape=SHAPES["cymylau"], desks=1, masts=1, build=weaker.REAL | {"almanac": build})
 
 
-def put(w, name, key, v):
-    """A put proposed at one member; the list gets its outcome."""
-    got = []
-    node = w.nodes[name]
+def put(world, name, key, value):
+    """Proposes a put at one member; its outcome is appended to the returned list."""
+    outcomes = []
+    node = world.nodes[name]
 
-    async def go():
-        node.daemon.on_txn(request={"cmp": [], "then": [["put", key, v, 0]]}, caller="t", callback=got.append)
+    async def scenario():
+        node.daemon.on_txn(
+            request={"cmp": [], "then": [["put", key, value, 0]]}, caller="t", callback=outcomes.append
+        )
 
-    node.run(go())
-    return got
+    node.run(scenario())
+    return outcomes
 
 
-def read(w, name, key):
-    got, node = [], w.nodes[name]
+def read(world, name, key):
+    """Reads a prefix at one member; the outcome is appended to the returned list."""
+    outcomes, node = [], world.nodes[name]
 
-    async def go():
-        node.daemon.on_get(request={"p": key}, caller="t", callback=got.append)
+    async def scenario():
+        node.daemon.on_get(request={"p": key}, caller="t", callback=outcomes.append)
 
-    node.run(go())
-    return got
+    node.run(scenario())
+    return outcomes
 
 
-def lost_after_a_blank_disk(alm):
-    """A put confirmed by leader A and C alone; C loses its disk; A is cut off."""
-    w, out = world(alm), {}
+def play_lost_disk(build):
+    """A put is confirmed by the leader and one other member, which then loses its disk while the leader
+    is cut off. Returns what was confirmed, what is read at the end, and which members are blank."""
+    world, seen = make_world(build), {}
 
-    async def go():
-        w.start_all()
+    async def scenario():
+        world.start_all()
         await asyncio.sleep(3)
-        a = w.who("almanac", "leader")[0]
-        b, c = sorted({"almanac-1", "almanac-2", "almanac-3"} - {a})
-        m = {n: w.cards[n]["machine"] for n in (a, b, c)}
-        w.net.cut(m[a], m[b])
-        w.net.cut(m[c], m[b])
+        leader = world.who("almanac", "leader")[0]
+        other, wiped = sorted({"almanac-1", "almanac-2", "almanac-3"} - {leader})
+        machines = {name: world.cards[name]["machine"] for name in (leader, other, wiped)}
+        world.net.cut(machines[leader], machines[other])
+        world.net.cut(machines[wiped], machines[other])
         await asyncio.sleep(0.3)
-        got = put(w, a, "k/x", 7)
+        outcomes = put(world, leader, "k/x", 7)
         await asyncio.sleep(0.2)
-        out["confirmed"] = bool(got and got[0].ok)
-        w.power_off(m[c])
-        w.disks[m[c]].lose()
-        w.net.heal()
-        w.net.cut(m[a], m[b])
-        w.net.cut(m[a], m[c])
-        w.power_on(m[c], [c])
+        seen["confirmed"] = bool(outcomes and outcomes[0].ok)
+        world.power_off(machines[wiped])
+        world.disks[machines[wiped]].lose()
+        world.net.heal()
+        world.net.cut(machines[leader], machines[other])
+        world.net.cut(machines[leader], machines[wiped])
+        world.power_on(machines[wiped], [wiped])
         await asyncio.sleep(6)
-        out["early"] = w.who("almanac", "leader")
-        w.net.heal()
+        seen["early"] = world.who("almanac", "leader")
+        world.net.heal()
         await asyncio.sleep(8)
-        lead = w.who("almanac", "leader")[0]
-        r = read(w, lead, "k/x")
+        new_leader = world.who("almanac", "leader")[0]
+        answers = read(world, new_leader, "k/x")
         await asyncio.sleep(1)
-        out["value"] = r[0].value["kv"].get("k/x", {}).get("v") if r and r[0].ok else None
-        out["blank"] = [n for n in (a, b, c) if n not in w.nodes or w.nodes[n].daemon.blank]
+        seen["value"] = answers[0].value["kv"].get("k/x", {}).get("v") if answers and answers[0].ok else None
+        seen["blank"] = [
+            name
+            for name in (leader, other, wiped)
+            if name not in world.nodes or world.nodes[name].daemon.blank
+        ]
 
-    w.run(go())
-    return out
+    world.run(scenario())
+    return seen
 
 
 def test_a_blank_disk_does_not_vote_a_confirmed_put_away():
-    weak, real = lost_after_a_blank_disk(EagerBlank), lost_after_a_blank_disk(Almanac)
+    """If a member with an empty disk votes, a leader without a confirmed put can be elected."""
+    weak, real = play_lost_disk(CountsWhenBlank), play_lost_disk(Almanac)
     assert weak["confirmed"] and weak["value"] is None
     assert real["confirmed"] and real["value"] == 7
     assert real["blank"] == []
 
 
-@pytest.mark.parametrize("build, past", [(LooseReads, True), (Almanac, False)])
+@pytest.mark.parametrize("build, past", [(UnconfirmedReads, True), (Almanac, False)])
 def test_a_woken_leader_does_not_answer_reads_from_the_past(build, past):
-    w, out = world(build), {}
+    world, seen = make_world(build), {}
 
-    async def go():
-        w.start_all()
+    async def scenario():
+        world.start_all()
         await asyncio.sleep(3)
-        a = w.who("almanac", "leader")[0]
-        got = put(w, a, "k/x", 1)
+        leader = world.who("almanac", "leader")[0]
+        outcomes = put(world, leader, "k/x", 1)
         await asyncio.sleep(0.2)
-        assert got[0].ok
-        w.pause(a)
-        r = read(w, a, "k/x")  # arrives while it is paused
+        assert outcomes[0].ok
+        world.pause(leader)
+        answers = read(world, leader, "k/x")  # arrives while the leader is suspended
         await asyncio.sleep(4)
-        b = [n for n in w.who("almanac", "leader") if n != a][0]
-        assert put(w, b, "k/x", 2) is not None
+        successor = [name for name in world.who("almanac", "leader") if name != leader][0]
+        assert put(world, successor, "k/x", 2) is not None
         await asyncio.sleep(0.3)
-        w.pause(a, on=False)
+        world.pause(leader, on=False)
         await asyncio.sleep(2)
-        out["r"], out["now"] = r[0], read(w, w.who("almanac", "leader")[0], "k/x")
+        seen["r"], seen["now"] = answers[0], read(world, world.who("almanac", "leader")[0], "k/x")
         await asyncio.sleep(1)
 
-    w.run(go())
-    assert (out["r"].ok and out["r"].value["kv"]["k/x"]["v"] == 1) == past
-    assert out["now"][0].value["kv"]["k/x"]["v"] == 2
+    world.run(scenario())
+    assert (seen["r"].ok and seen["r"].value["kv"]["k/x"]["v"] == 1) == past
+    assert seen["now"][0].value["kv"]["k/x"]["v"] == 2
 
 
 def test_a_leader_that_leaves_names_its_successor():
-    w, out = world(), {}
+    world, seen = make_world(), {}
 
-    async def go():
-        w.start_all()
+    async def scenario():
+        world.start_all()
         await asyncio.sleep(3)
-        a, t = w.who("almanac", "leader")[0], w.loop.vt
-        w.leave(a)
-        while not [n for n in w.who("almanac", "leader") if n != a]:
+        leader, left_at = world.who("almanac", "leader")[0], world.loop.vt
+        world.leave(leader)
+        while not [name for name in world.who("almanac", "leader") if name != leader]:
             await asyncio.sleep(0.01)
-        out["gap"] = w.loop.vt - t
+        seen["gap"] = world.loop.vt - left_at
 
-    w.run(go())
-    assert out["gap"] < 0.5
+    world.run(scenario())
+    assert seen["gap"] < 0.5
 
 
 def test_members_that_applied_the_same_entries_hold_the_same_record():
-    s = storm.run(seed=9, n=6, load=12.0, kinds=["kill_any", "slow_disk", "lose_disk", "burst"])
-    ds = {
-        x.daemon.record.digest()
-        for x in s.world.graves
-        if x.name.startswith("almanac")
-        and x.daemon.applied == max(y.daemon.applied for y in s.world.graves if y.name.startswith("almanac"))
+    result = storm.run(seed=9, n=6, load=12.0, kinds=["kill_any", "slow_disk", "lose_disk", "burst"])
+    digests = {
+        ended.daemon.record.digest()
+        for ended in result.world.graves
+        if ended.name.startswith("almanac")
+        and ended.daemon.applied
+        == max(other.daemon.applied for other in result.world.graves if other.name.startswith("almanac"))
     }
-    assert s.bad == [] and len(ds) == 1
-    assert sum(1 for x in s.world.graves if x.name.startswith("almanac")) >= 3
+    assert result.bad == [] and len(digests) == 1
+    assert sum(1 for ended in result.world.graves if ended.name.startswith("almanac")) >= 3
--- a/tests/weak.py
+++ b/tests/weak.py
@@ -1,6 +1,5 @@
-"""Weaker versions of the daemons. Each lacks one protection; under the faults it is
-meant for, the checker must find the very thing that must never happen. The same
-seeds through the real daemons must be clean: the pair is the test."""
+"""Weaker versions of the daemons, each without one protection. Under the faults that the protection is for,
+the checker must find its rule broken, and with the same seeds the real daemons must break no rule."""
 
 import asyncio
 
@@ -14,33 +13,34 @@
 REAL = {"almanac": Almanac, "desk": Desk, "mast": Mast}
 
 
-def with_record(rec, desk=Desk, mast=Mast, alm=Almanac):
+def with_record(record_class, desk=Desk, mast=Mast, almanac=Almanac):
+    """Classes of the daemons whose record is a `record_class`."""
     return {
-        "almanac": type("A", (alm,), {"make_record": rec, "abstract": False}),
-        "desk": type("D", (desk,), {"make_record": rec, "abstract": False}),
+        "almanac": type("A", (almanac,), {"make_record": record_class, "abstract": False}),
+        "desk": type("D", (desk,), {"make_record": record_class, "abstract": False}),
         "mast": mast,
     }
 
 
 class NoNames(Record):
-    """Takes every send for a new job."""
+    """Takes every submission for a new job."""
 
     def ev_job(self, stamp, name, spec, digest):
         old = self.jobs.pop(name, None)
         if old is not None:
-            for t in old.tasks.values():
-                self.unready(t)
-            for run in [r for r, g in self.legs.items() if g.job == name]:
-                g = self.legs[run]
+            for task in old.tasks.values():
+                self.unready(task)
+            for run in [number for number, attempt in self.legs.items() if attempt.job == name]:
+                attempt = self.legs[run]
                 self.jobs[name] = old
-                self.take_room(attempt=g, sign=-1)
+                self.take_room(attempt=attempt, sign=-1)
                 del self.legs[run]
             self.jobs.pop(name, None)
         return super().ev_job(stamp, name, spec, digest)
 
 
 class ForgetfulDesk(Desk):
-    """Sends every resend into the record, known or not."""
+    """Passes every resent submission to the record, also of jobs that it has."""
 
     def on_job(self, *, request, callback, caller):
         old, self.record.jobs = self.record.jobs, {}
@@ -51,7 +51,7 @@
 
 
 class HastyDesk(Desk):
-    """Takes a worker's legs for stopped as soon as it is not heard."""
+    """Takes a worker's attempts for stopped as soon as the worker is silent."""
 
     def on_beat(self, *, request, callback, caller):
         super().on_beat(request=request, callback=callback, caller=caller)
@@ -60,13 +60,17 @@
 
 
 class AllAtOnce(Record):
+    """Makes all steps of a job ready at once."""
+
     def open_steps(self, *, job, stamp):
-        for t in job.tasks.values():
-            if t.state == WAITING:
-                self.task_to(task=t, state=READY, stamp=stamp)
+        for task in job.tasks.values():
+            if task.state == WAITING:
+                self.task_to(task=task, state=READY, stamp=stamp)
 
 
 class Early(Record):
+    """Ignores notBefore and the delay of retries."""
+
     def unfit(self, task, worker, *, now):
         return super().unfit(task, worker, now=max(now, task.due))
 
@@ -75,58 +79,70 @@
 
 
 class NoRoom(Record):
+    """Places tasks on workers without enough free resources."""
+
     def unfit_worker(self, *, step, spec, worker, now, lane=""):
         why = super().unfit_worker(step=step, spec=spec, worker=worker, now=now, lane=lane)
         return "" if why == "room" else why
 
 
 class NoSpread(Record):
+    """Ignores the limits on a step's tasks per worker and per rack."""
+
     def unfit_worker(self, *, step, spec, worker, now, lane=""):
         why = super().unfit_worker(step=step, spec=spec, worker=worker, now=now, lane=lane)
         return "" if why == "spread" else why
 
 
 class AnyRack(Record):
+    """Ignores the rack and zone that a step requires."""
+
     def ev_job(self, stamp, name, spec, digest):
-        spec = spec | {"steps": [s | {"rack": "", "zone": ""} for s in spec["steps"]]}
+        spec = spec | {"steps": [step | {"rack": "", "zone": ""} for step in spec["steps"]]}
         return super().ev_job(stamp, name, spec, digest)
 
 
 class Stubborn(Record):
+    """Retries a task beyond maxFailures."""
+
     def task_bad(self, *, job, task, worker, stamp, why):
-        s = job.steps[task.step].spec
-        keep, s["maxFailures"] = s["maxFailures"], 1000
+        step = job.steps[task.step].spec
+        max_failures, step["maxFailures"] = step["maxFailures"], 1000
         super().task_bad(job=job, task=task, worker=worker, stamp=stamp, why=why)
-        s["maxFailures"] = keep
+        step["maxFailures"] = max_failures
 
 
 class SaysNoDoesIt(Desk):
-    """Refuses now and then, and does it all the same."""
+    """Refuses every fifth submission, but accepts it into the record."""
 
-    n = 0
+    submissions = 0
 
     def on_job(self, *, request, callback, caller):
-        self.n += 1
-        if self.n % 5 == 0 and self.live():
-            super().on_job(request=request, callback=lambda o: None, caller=caller)
+        self.submissions += 1
+        if self.submissions % 5 == 0 and self.live():
+            super().on_job(request=request, callback=lambda outcome: None, caller=caller)
             callback(BadInput(errors=[["lane", "no"]]))
             return
         super().on_job(request=request, callback=callback, caller=caller)
 
 
 class DeafToCancel(Record):
+    """Confirms cancellations without cancelling."""
+
     def ev_cancel(self, stamp, name):
         return ["ok", "open"] if name in self.jobs else ["none", ""]
 
 
 class NoLeaving(Record):
+    """Ignores that a worker is about to leave."""
+
     def ev_leave(self, stamp, id, boot):
-        w = self.workers.get(id)
-        return ["ok", UP] if w is not None else ["none", ""]
+        worker = self.workers.get(id)
+        return ["ok", UP] if worker is not None else ["none", ""]
 
 
 class Alone(Almanac):
-    """Confirms as soon as its own disk has it, and follows whoever asks."""
+    """Commits an entry as soon as it is on the leader's own disk."""
 
     def advance(self):
         if self.rank == "leader" and self.synced > self.commit:
@@ -136,7 +152,7 @@
 
 
 class Unsynced(Almanac):
-    """Tells before its disk has it, and counts itself as if it had."""
+    """Answers before the sync, and counts itself as synced."""
 
     def after_sync(self, callback):
         callback()
@@ -148,7 +164,7 @@
 
 
 class FirstIsAll(Record):
-    """Shows a job done with its first step."""
+    """Shows a job as done when its first task is done."""
 
     def task_done(self, *, job, task, stamp):
         super().task_done(job=job, task=task, stamp=stamp)
@@ -157,7 +173,7 @@
 
 
 class Fickle(Record):
-    """Shows a job failed at its first failure."""
+    """Shows a job as failed at its first failure."""
 
     def task_bad(self, *, job, task, worker, stamp, why):
         super().task_bad(job=job, task=task, worker=worker, stamp=stamp, why=why)
@@ -166,29 +182,31 @@
 
 
 class OldCharter(Mast):
-    """Reads the charter from what it holds."""
+    """Answers reads of the configuration from a copy that may be old."""
 
     def charter_get(self, call, s):
         self.finish(s=s, o=Success(value=self.charter))
 
     async def follow_charter(self):
         while True:
-            o = await self.near(op="charter", request={"version": self.charter["version"]}, wait=6.0)
+            outcome = await self.near(op="charter", request={"version": self.charter["version"]}, wait=6.0)
             await asyncio.sleep(3.0 * self.seam.rng.random())
-            if o.ok and o.value is not None:
-                self.charter = o.value
+            if outcome.ok and outcome.value is not None:
+                self.charter = outcome.value
 
 
 class NoBase(Record):
-    """Takes an edit whatever version it builds on."""
+    """Confirms an edit that is based on an old version."""
 
-    def edit(self, d):
-        if d["base"] != self.charter["version"]:
-            return Success(value={"version": d["base"] + 1})
-        return super().edit(d)
+    def edit(self, fields):
+        if fields["base"] != self.charter["version"]:
+            return Success(value={"version": fields["base"] + 1})
+        return super().edit(fields)
 
 
 class NoLimit(Record):
-    def edit(self, d):
-        rows = {a: r and r | {"limit": 0} for a, r in d["rows"].items()}
-        return super().edit(d | {"rows": rows})
+    """Drops the limits of queues from edits."""
+
+    def edit(self, fields):
+        rows = {lane: row and row | {"limit": 0} for lane, row in fields["rows"].items()}
+        return super().edit(fields | {"rows": rows})
--- a/tests/weak_parts.py
+++ b/tests/weak_parts.py
@@ -1,4 +1,4 @@
-"""Daemons that lack one protection each; tests/parts.py says which and why."""
+"""Daemons that lack one protection each; tests/parts.py lists the protections."""
 
 import asyncio
 
@@ -10,56 +10,60 @@
 
 
 class NoEpochs(Record):
-    """Any primary's turn counts, deposed or not."""
+    """Accepts a batch of any primary, also of a previous one."""
 
-    def turn(self, d):
-        return super().turn(d | {"e": max(d["e"], self.epoch), "c": max(d["c"], self.clock_epoch)})
+    def turn(self, fields):
+        return super().turn(
+            fields | {"e": max(fields["e"], self.epoch), "c": max(fields["c"], self.clock_epoch)}
+        )
 
 
 class NoStampFence(Record):
-    """A turn counts however old its stamp."""
+    """Accepts a batch however old its timestamp."""
 
-    def turn(self, d):
-        keep, self.last = self.last, 0
-        o = super().turn(d)
-        self.last = max(keep, self.last)
-        return o
+    def turn(self, fields):
+        last, self.last = self.last, 0
+        outcome = super().turn(fields)
+        self.last = max(last, self.last)
+        return outcome
 
 
-class NoFence(NoEpochs, NoStampFence):
-    pass
+class NoFences(NoEpochs, NoStampFence):
+    """Checks neither a batch's epochs nor its timestamp."""
 
 
-class DeskNoLook(Desk):
-    """Primary until it hears that it is not, whatever its hold says."""
+class NoLeaseCheckDesk(Desk):
+    """Stays primary until it is told otherwise, also when its lease has expired."""
 
     def live(self):
         return self.part == "primary"
 
 
 class NoPrevote(Almanac):
+    """Campaigns without a pre-vote."""
+
     async def campaign(self, *, forced=False):
         await super().campaign(forced=True)
 
 
 class BlankVotes(Almanac):
-    """A blank disk counts from its first moment."""
+    """Counts and votes with an empty disk from its start."""
 
     def restore(self):
         super().restore()
         self.blank, self.rank = False, "follower"
 
 
-class NoValid(Desk):
-    """Starts are good for as long as they take to arrive."""
+class NoStartExpiry(Desk):
+    """Start orders do not expire on the way to a worker."""
 
     def beat_outcome(self, *, worker_id, session):
-        o = super().beat_outcome(worker_id=worker_id, session=session)
-        return Success(value=o.value | {"validMs": 60_000}) if o.ok else o
+        outcome = super().beat_outcome(worker_id=worker_id, session=session)
+        return Success(value=outcome.value | {"validMs": 60_000}) if outcome.ok else outcome
 
 
 class NoMargin(Desk):
-    """Takes a worker for stopped the moment its hold is over here."""
+    """Takes a worker for stopped as soon as its lease has expired by the scheduler's clock."""
 
     def on_beat(self, *, request, callback, caller):
         super().on_beat(request=request, callback=callback, caller=caller)
@@ -67,32 +71,32 @@
             self.sessions[request["id"]].until -= constants.WORKER_MARGIN
 
 
-class StaleHolds(Desk):
-    """Takes over and holds every worker for silent since long."""
+class StaleLeases(Desk):
+    """After a takeover, treats every worker as long silent."""
 
     def start_beats(self):
         super().start_beats()
-        for h in self.sessions.values():
-            h.until = self.seam.now() + 0.5
+        for session in self.sessions.values():
+            session.until = self.seam.now() + 0.5
 
 
-class LooseReads(Almanac):
-    """Whoever believes to lead answers reads from what it has."""
+class UnconfirmedReads(Almanac):
+    """A leader answers reads without a confirmation by a majority."""
 
     def read(self, *, callback):
         callback(None if self.rank == "leader" else NotLeader(hint=self.leader))
 
 
-class ShortHolds(Almanac):
-    """A new leader of the store knows of no keep-alive and lets every hold go."""
+class ForgetsKeepAlives(Almanac):
+    """A new leader of the store ignores earlier keep-alives and expires every lease."""
 
-    def take_lead(self):
-        super().take_lead()
-        self.hold_ends = {h: self.lead_t for h in self.hold_ends}
+    def start_leading(self):
+        super().start_leading()
+        self.hold_ends = {lease: self.led_since for lease in self.hold_ends}
 
 
 class NoBoots(Record):
-    """Forgets which boots a worker had and under which it left."""
+    """Forgets a worker's earlier boots and the boot under which it left."""
 
     def ev_worker(self, stamp, id, boot, kind, zone, rack, room, *more):
         self.gone.pop(id, None)
@@ -101,31 +105,31 @@
         return super().ev_worker(stamp, id, boot, kind, zone, rack, room, *more)
 
 
-class Ungreeted(Desk):
-    """Takes the first beat of a boot for its start, however late it comes."""
+class AcceptsLateBeats(Desk):
+    """Accepts the first heartbeat of a boot as its start, however late it arrives."""
 
     def announce(self, *, request, session):
         session.greeted = True
         super().announce(request=request, session=session)
 
 
-class SureOfAll(Desk):
-    """Tells 'not taken' where it only does not know."""
+class NeverUnsure(Desk):
+    """Answers that a request was not taken where it cannot know."""
 
     async def one_turn(self, *, items, events):
         items = [(e, k and (lambda r, st, k=k: k(Leaving() if st is None else r, st))) for e, k in items]
         return await super().one_turn(items=items, events=events)
 
 
-class DeafToStops(Desk):
-    """Never tells a worker to stop what was cancelled."""
+class NeverSendsStops(Desk):
+    """Never sends workers the order to stop cancelled attempts."""
 
     def orders(self, *, worker_id, session):
         return super().orders(worker_id=worker_id, session=session)[0], []
 
 
-class Inventive(Record):
-    """Takes in a job that nobody sent."""
+class InventsJobs(Record):
+    """Adds jobs that nobody submitted."""
 
     def ev_job(self, stamp, name, spec, digest):
         if name.endswith("7"):
@@ -133,98 +137,110 @@
         return super().ev_job(stamp, name, spec, digest)
 
 
-class SlowToShow(Desk):
-    """Reads from a copy that lags some seconds."""
+class StaleJobReads(Desk):
+    """Hides jobs that changed in the last 6 s from reads."""
 
     def on_read(self, *, request, callback, caller):
-        j = self.record.jobs.get(request["name"])
-        if j is not None and self.clock_ms() - (j.stamp >> constants.LOGICAL_BITS) < 6000:
+        job = self.record.jobs.get(request["name"])
+        if job is not None and self.clock_ms() - (job.stamp >> constants.LOGICAL_BITS) < 6000:
             request = request | {"name": request["name"] + ".not-yet"}
         super().on_read(request=request, callback=callback, caller=caller)
 
 
-class NoLimitLook(Record):
+class NoLimitCheck(Record):
+    """Ignores the limits of queues in placement."""
+
     def unfit(self, task, worker, *, now):
         why = super().unfit(task, worker, now=now)
-        j = self.jobs[task.job]
+        job = self.jobs[task.job]
         return (
             self.unfit_worker(
-                step=j.steps[task.step], spec=j.steps[task.step].spec, worker=worker, now=now, lane=j.lane
+                step=job.steps[task.step],
+                spec=job.steps[task.step].spec,
+                worker=worker,
+                now=now,
+                lane=job.lane,
             )
             if why == "limit"
             else why
         )
 
 
-class SlowEdits(Desk):
-    """Places by the charter of eight seconds ago."""
+class StaleConfigurationDesk(Desk):
+    """Places by the configuration of 8 s ago."""
 
-    def place_all(self, *, most, **kw):
-        now, new = self.seam.now(), self.record.charter
-        self.past = [x for x in getattr(self, "past", []) if now - x[0] < 8] + [(now, new)]
-        self.record.charter = new | {"rows": new["rows"] | self.past[0][1]["rows"]}
+    def place_all(self, *, most, **options):
+        now, configuration = self.seam.now(), self.record.charter
+        self.past = [version for version in getattr(self, "past", []) if now - version[0] < 8] + [
+            (now, configuration)
+        ]
+        self.record.charter = configuration | {"rows": configuration["rows"] | self.past[0][1]["rows"]}
         try:
-            return super().place_all(most=most, **kw)
+            return super().place_all(most=most, **options)
         finally:
-            self.record.charter = new
+            self.record.charter = configuration
 
 
-class QuickForget(Record):
-    """Drops a job as soon as it has ended."""
+class ForgetsEndedJobs(Record):
+    """Keeps only a few ended jobs, instead of all for minutes."""
 
     def job_to(self, *, job, state, stamp, why=""):
         super().job_to(job=job, state=state, stamp=stamp, why=why)
         if job.ended and len(self.ended) > 5:
-            _, n = self.ended.popleft()
-            old = self.jobs.pop(n)
-            self.names[n] = [stamp, old.digest, old.state]
+            _, name = self.ended.popleft()
+            job_ended = self.jobs.pop(name)
+            self.names[name] = [stamp, job_ended.digest, job_ended.state]
 
 
-class Lame(Almanac):
-    """Waits far too long before it stands for election."""
+class SlowCampaign(Almanac):
+    """Waits 30 s before it campaigns, except at the first start."""
 
     async def watchdog(self):
         while True:
             await asyncio.sleep(constants.WATCHDOG)
             if self.blank:
                 await self.unblank()
-            elif self.rank != "leader" and self.seam.now() - self.heard > (1.0 if self.term == 0 else 30.0):
+            elif self.rank != "leader" and self.seam.now() - self.election_timer_start > (
+                1.0 if self.term == 0 else 30.0
+            ):
                 await self.campaign()
 
 
 class NeverWaits(Record):
-    """Starts a lost worker's tasks elsewhere, whatever the worker said of itself."""
+    """Restarts a lost worker's tasks at once, even if the worker said that it keeps running them."""
 
     def restarts(self, *, worker, attempt):
         return True
 
 
-class Noted(Almanac):
-    """Notes every stamp as it is issued."""
+class RecordsStamps(Almanac):
+    """Records every timestamp that is issued in the history."""
 
     abstract = False
 
-    def on_stamp(self, *, request, callback, caller, n=0):
-        def then(o):
-            if o.ok:
-                self.seam.world.hist.note("stamp", first=o.value["first"], n=o.value["n"])
-            callback(o)
+    def on_stamp(self, *, request, callback, caller, tries=0):
+        def then(outcome):
+            if outcome.ok:
+                self.seam.world.hist.note("stamp", first=outcome.value["first"], n=outcome.value["n"])
+            callback(outcome)
+
+        super().on_stamp(request=request, callback=callback if tries else then, caller=caller, tries=tries)
 
-        super().on_stamp(request=request, callback=callback if n else then, caller=caller, n=n)
 
+class NoLeaseCheckClock(RecordsStamps):
+    """Issues timestamps also when its lease has expired."""
 
-class ClockNoLook(Noted):
-    def clock_live(self, r):
-        return self.clk is r and r.until > 0.0
+    def clock_live(self, leadership):
+        return self.clk is leadership and leadership.lease_end > 0.0
 
 
-class NoBound(Noted):
-    """Begins at its own wall, whatever was issued before."""
+class NoBound(RecordsStamps):
+    """Starts at its own wall clock, whatever was issued before."""
 
-    async def clock_sync(self, r):
+    async def clock_sync(self, leadership):
         ms = self.seam.wall()
-        r.anchor = (ms, self.seam.now())
-        if not await self.clock_save(r=r, bound=ms + constants.SAVE_MS):
+        leadership.anchor = (ms, self.seam.now())
+        if not await self.clock_save(leadership=leadership, bound=ms + constants.SAVE_MS):
             return False
-        r.phys, r.logical, r.synced = ms, 0, True
+        leadership.physical, leadership.logical, leadership.synced = ms, 0, True
         return True
--- a/tests/weak_replicas.py
+++ b/tests/weak_replicas.py
@@ -1,4 +1,4 @@
-"""Replicas of the store that lack one protection each, for tests/test_model.py."""
+"""Replicas of the store that lack one protection each, for tests/test_model.py and test_model_mends.py."""
 
 from hollowhall.almanac.vote import LEADER
 from hollowhall.base import constants
@@ -8,7 +8,7 @@
 
 
 class ReadsAlone(ModelReplica):
-    """A leader answers reads without having heard a majority since."""
+    """A leader answers reads without a confirmation by a majority."""
 
     def read(self, *, callback):
         if self.rank == LEADER:
@@ -18,14 +18,14 @@
 
 
 class OldMajority(ModelReplica):
-    """The majority stays that of the founders' number, however many members there are."""
+    """The majority is that of the founders, however many members there are now."""
 
-    def most(self):
+    def majority(self):
         return len(self.params.seeds) // 2 + 1
 
 
 class HurriedNewcomer(ModelReplica):
-    """A newcomer is made a voter, and counts, before it holds what was committed."""
+    """A new member becomes a voter, and counts, before it holds the committed entries."""
 
     def steer_once(self):
         learner = self.conf["learner"]
@@ -43,49 +43,55 @@
 
 
 class SnapshotWithoutMembership(ModelReplica):
-    """Snapshots do not hold the list of members."""
+    """Snapshots lack the membership."""
 
-    def head(self):
-        return {key: value for key, value in super().head().items() if key != "conf"}
+    def snapshot_header(self):
+        return {key: value for key, value in super().snapshot_header().items() if key != "conf"}
 
 
 class RecordWithoutKeys(Record):
-    """Snapshots do not hold the idempotency keys of the operators' orders."""
+    """Snapshots lack the idempotency keys of operators' edits."""
 
     def pack(self, *, jobs=True):
         return super().pack(jobs=jobs) | ({"taken": {}} if self.level > 1 else {})
 
 
 class SnapshotWithoutKeys(ModelReplica):
+    """Snapshots lack the idempotency keys of operators' edits."""
+
     make_record = RecordWithoutKeys
 
 
 class NoKeys(Record):
-    """An order that was taken is not known when it comes again."""
+    """An edit that was accepted is not recognized when it is sent again."""
 
-    def edit_chosen(self, d):
-        if d["on"] != self.charter.get("chosen", 0):
-            return StaleBase(base=d["on"], version=self.charter.get("chosen", 0))
-        return super().edit_chosen(d)
+    def edit_chosen(self, fields):
+        if fields["on"] != self.charter.get("chosen", 0):
+            return StaleBase(base=fields["on"], version=self.charter.get("chosen", 0))
+        return super().edit_chosen(fields)
 
 
 class ForgetsOrders(ModelReplica):
+    """An edit that was accepted is not recognized when it is sent again."""
+
     make_record = NoKeys
 
 
 class AnyBase(Record):
-    """An order is taken whatever it builds on."""
+    """An edit is accepted whatever version it is based on."""
 
-    def edit_chosen(self, d):
-        return super().edit_chosen(d | {"on": self.charter.get("chosen", 0)})
+    def edit_chosen(self, fields):
+        return super().edit_chosen(fields | {"on": self.charter.get("chosen", 0)})
 
 
 class TakesAnyBase(ModelReplica):
+    """An edit is accepted whatever version it is based on."""
+
     make_record = AnyBase
 
 
 class EmptyDiskVotes(ModelReplica):
-    """A replica whose disk came back empty counts from its first moment."""
+    """A replica that lost its disk counts from its start."""
 
     def restore(self):
         super().restore()
@@ -93,55 +99,55 @@
 
 
 class VotesBeforeSync(ModelReplica):
-    """A vote is told before it is on disk."""
+    """A vote is sent before it is on disk."""
 
     def on_vote(self, *, request, callback, caller):
-        keep, self.after_sync = self.after_sync, lambda run: run()
+        real, self.after_sync = self.after_sync, lambda callback_now: callback_now()
         super().on_vote(request=request, callback=callback, caller=caller)
-        self.after_sync = keep
+        self.after_sync = real
 
 
 class AnswersBeforeSync(ModelReplica):
-    """Entries are said to be held before they are on disk."""
+    """Entries are acknowledged before they are on disk."""
 
     def on_append(self, *, request, callback, caller):
-        keep, self.after_sync = self.after_sync, lambda run: run()
+        real, self.after_sync = self.after_sync, lambda callback_now: callback_now()
         super().on_append(request=request, callback=callback, caller=caller)
-        self.after_sync = keep
+        self.after_sync = real
 
 
 class VotesForShorterLogs(ModelReplica):
-    """A vote is given whatever the candidate's log lacks."""
+    """Votes for candidates whose log lacks entries."""
 
-    def newer(self, request):
+    def log_up_to_date(self, request):
         return True
 
 
 class CountsBeforeSnapshot(ModelReplica):
-    """That a replica counts again is on disk before the snapshot that it counts by."""
+    """The disk says that a blank replica counts again before the snapshot that it counts by is on disk."""
 
     def counts_on_disk(self):
         return not self.blank
 
 
 class ForgetsLearners(ModelReplica):
-    """A newcomer that was given up leaves no trace in the list of members."""
+    """A learner that was dropped is not listed among the past members."""
 
-    def put_conf(self, *, callback=lambda o: None, **kw):
-        if kw.get("learner") == "" and "past" in kw and "voters" not in kw:
-            del kw["past"]
-        super().put_conf(callback=callback, **kw)
+    def put_conf(self, *, callback=lambda o: None, **changes):
+        if changes.get("learner") == "" and "past" in changes and "voters" not in changes:
+            del changes["past"]
+        super().put_conf(callback=callback, **changes)
 
 
 class TellsKnownLeasesOnly(ModelReplica):
-    """A voter tells of keep-alives only where it has applied the lease's grant."""
+    """A voter reports keep-alives only of leases whose grant it has applied."""
 
     def keeps(self):
         return {lease: age for lease, age in super().keeps().items() if lease in self.keys.holds}
 
 
 class AnswersBelowSnapshots(ModelReplica):
-    """Entries below a snapshot are answered for before the snapshot is on disk."""
+    """Entries covered by a snapshot are acknowledged before the snapshot is on disk."""
 
     def on_append(self, *, request, callback, caller):
         if request["li"] + len(request["es"]) < self.base_i:
@@ -151,7 +157,7 @@
 
 
 class ChangesCountAsContact(ModelReplica):
-    """A change of the list of members counts as news from the others."""
+    """A membership change counts as contact with a majority."""
 
     def out_of_touch(self):
         return self.quorum_age() > constants.TOUCH if self.rank == LEADER else super().out_of_touch()
