--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,6 +1,6 @@
-"""Keep-alives in trouble, in virtual time: a lease counts from the start of the attempt that
-was answered, neither from a lost one before it nor from the answer; and a store on a slow
-processor keeps its lead while it takes a picture."""
+"""Keep-alives of leases under faults, in virtual time: a lease counts from the start of the attempt that
+was answered, not from a lost attempt before it nor from the answer. A store on a slow processor keeps its
+leader while it takes a snapshot."""
 
 import asyncio
 from statistics import median
@@ -14,7 +14,7 @@
 
 
 class Attempts:
-    """A member that answers none but the n-th attempt, and says when each was sent."""
+    """A store member that answers only the n-th attempt, after `took` s; `sent` has the time of each."""
 
     def __init__(self, *, loop, nth, took):
         self.loop, self.nth, self.took, self.sent = loop, nth, took, []
@@ -23,7 +23,7 @@
         return False
 
     async def call(self, *, op, request, wait):
-        if request.get("hold") != 1:  # the daemon's own
+        if request.get("hold") != 1:  # the daemon's own lease
             return Late(op=op)
         self.sent.append(self.loop.vt)
         if len(self.sent) < self.nth:
@@ -33,78 +33,85 @@
         return Success(value={})
 
 
-def keep(nth, took):
-    """(since when the lease counts, when each attempt was sent, s to the next, answered)."""
-    w = World(seed=3, shape=SHAPES["cymylau"], masts=1)
-    out = {}
+def play_keep_alive(nth, took):
+    """(start of the lease period, times of the attempts, s until the next keep-alive, whether answered)."""
+    world = World(seed=3, shape=SHAPES["cymylau"], masts=1)
+    seen = {}
 
-    async def go():
-        w.start_all()
+    async def scenario():
+        world.start_all()
         await asyncio.sleep(2)
-        d = w.nodes[w.who("desk", "primary")[0]].daemon
-        m = Attempts(loop=w.loop, nth=nth, took=took)
-        pace, base = w.paces[w.cards[d.params.id]["machine"]], d.seam.now() - w.loop.vt
-        d.link = lambda addr: m
-        o, at, gap = await d.keep_lease(hold=1)
-        out["x"] = at - base, m.sent, gap, o.ok
+        daemon = world.nodes[world.who("desk", "primary")[0]].daemon
+        member = Attempts(loop=world.loop, nth=nth, took=took)
+        pace, base = world.paces[world.cards[daemon.params.id]["machine"]], daemon.seam.now() - world.loop.vt
+        daemon.link = lambda addr: member
+        outcome, counts_from, gap = await daemon.keep_lease(hold=1)
+        seen["x"] = counts_from - base, member.sent, gap, outcome.ok
         assert abs(pace - 1) < 0.01
 
-    w.run(go())
-    return out["x"]
+    world.run(scenario())
+    return seen["x"]
 
 
 def test_a_lease_counts_from_the_attempt_that_was_answered():
-    at, sent, gap, ok = keep(1, 0.1)
+    at, sent, gap, ok = play_keep_alive(1, 0.1)
     assert ok and abs(at - sent[0]) < 0.01 and abs(gap - (constants.HOLD_KEEP - 0.1)) < 0.01
-    at, sent, gap, ok = keep(2, 0.2)
+    at, sent, gap, ok = play_keep_alive(2, 0.2)
     assert ok and len(sent) == 2 and abs(at - sent[1]) < 0.01
     assert at < sent[1] + 0.05 and sent[1] - sent[0] > constants.KEEP_WAIT
-    assert gap == constants.HOLD_RETRY  # a period is over: the next goes out at once
+    assert gap == constants.HOLD_RETRY  # a period has passed: the next one is sent at once
 
 
 def test_a_keep_alive_that_nobody_answers_renews_nothing():
-    *_, gap, ok = keep(9, 0.0)
+    *_, gap, ok = play_keep_alive(9, 0.0)
     assert not ok and gap == constants.HOLD_RETRY
 
 
 def test_slices_of_a_picture_go_by_how_long_the_last_one_took():
-    class Rec:
+    class EmptyRecord:
+        """A record without jobs."""
+
         jobs = {}
 
         def pack(self, jobs):
             return {}
 
-    c = Copying(rec=Rec())
+    copying = Copying(rec=EmptyRecord())
     for _ in range(20):
-        c.paced(s=c.most * constants.PACK_TASK * 24)  # a processor 24 times slower
-    assert c.most * constants.PACK_TASK * 24 < 1.5 * constants.PACK_AIM and c.most >= constants.PACK_LEAST
+        copying.paced(s=copying.most * constants.PACK_TASK * 24)  # a processor 24 times slower
+    assert (
+        copying.most * constants.PACK_TASK * 24 < 1.5 * constants.PACK_AIM
+        and copying.most >= constants.PACK_LEAST
+    )
     for _ in range(20):
-        c.paced(s=c.most * constants.PACK_TASK)
-    assert c.most == constants.PACK_SLICE
-    c.paced(s=9.0)
-    assert c.most == constants.PACK_LEAST
+        copying.paced(s=copying.most * constants.PACK_TASK)
+    assert copying.most == constants.PACK_SLICE
+    copying.paced(s=9.0)
+    assert copying.most == constants.PACK_LEAST
 
 
 def test_a_crowd_on_slow_processors_does_not_cost_the_leads():
-    """The run of test_crowd.py: the store's lead was lost four times, the desk's four times and
-    once at the end of the run. One run says little of the desk's: it ends by chance within a turn
-    or after it (1 to 3 times), so six seeds are bounded by their median, their sum and their largest,
-    and the store's lead in each."""
-    import hollowhall.sim.world as W
+    """The run of test_crowd.py. The store lost its leader four times, and the scheduler its primary four
+    times and once more at the end. How often the primary changes varies by chance between runs (1 to 3
+    times), so its changes are bounded over six seeds by median, sum and maximum; the store must not lose
+    its leader with any seed."""
+    import hollowhall.sim.world as world_module
 
-    worlds, first = [], W.World.__init__
+    worlds, real_init = [], world_module.World.__init__
 
     def note(self, **kw):
-        first(self, **kw)
+        real_init(self, **kw)
         worlds.append(self)
 
-    W.World.__init__ = note
+    world_module.World.__init__ = note
     try:
         for seed in range(1, 7):
             crowd(seed, "cymylau", times=30, slow=24.0, secs=6.0)
     finally:
-        W.World.__init__ = first
-    lost = [x for w in worlds for x in w.log if "HH200" in x and "was=leader" in x]
-    desks = sorted(sum("HH401" in x for x in w.log) for w in worlds)
+        world_module.World.__init__ = real_init
+    lost = [line for world in worlds for line in world.log if "HH200" in line and "was=leader" in line]
+    desk_takeovers = sorted(sum("HH401" in line for line in world.log) for world in worlds)
     assert lost == [], lost
-    assert median(desks) <= 2 and sum(desks) <= 13 and desks[-1] <= 3, desks
+    assert median(desk_takeovers) <= 2 and sum(desk_takeovers) <= 13 and desk_takeovers[-1] <= 3, (
+        desk_takeovers
+    )
--- a/tests/test_ring_place.py
+++ b/tests/test_ring_place.py
@@ -1,4 +1,5 @@
-"""Who watches whom in a fleet: the ring that is worked out once for a view says what a look through all daemons says."""
+"""Which daemon monitors which: the monitoring ring that is built once per fleet view agrees with a search
+through all daemons."""
 
 import random
 
@@ -8,10 +9,10 @@
 from hollowhall.base.ring_place import Ring, place
 
 
-def watchers(*, i, ids):
-    """The next few after i on the ring, by a look through all."""
-    others = sorted((x for x in ids if x != i), key=place)
-    first = next((n for n, x in enumerate(others) if place(x) > place(i)), 0)
+def expected_watchers(*, i, ids):
+    """The next few daemons after `i` on the ring, found by a search through all."""
+    others = sorted((other for other in ids if other != i), key=place)
+    first = next((position for position, other in enumerate(others) if place(other) > place(i)), 0)
     return (others[first:] + others[:first])[: constants.WATCHERS]
 
 
@@ -21,5 +22,5 @@
     ids = [f"daemon-{draw.getrandbits(30)}" for _ in range(size)]
     ring = Ring(ids=ids)
     for i in [*ids, "a-newcomer", "another"]:
-        assert ring.watchers(i) == watchers(i=i, ids=ids)
-        assert sorted(ring.watched_by(i)) == sorted(x for x in ids if i in watchers(i=x, ids=ids))
+        assert ring.watchers(i) == expected_watchers(i=i, ids=ids)
+        assert sorted(ring.watched_by(i)) == sorted(x for x in ids if i in expected_watchers(i=x, ids=ids))
