--- a/tests/parts.py
+++ b/tests/parts.py
@@ -7,7 +7,7 @@
 from multiprocessing import Pool
 
 import weak as weaker
-import weak_parts as weaker_parts
+import weak_parts as P
 
 from hollowhall.sim import storm
 from hollowhall.sim.faults import schedule
@@ -19,63 +19,55 @@
 CLOCK = ("wall_jump", "pause_clock", "kill_leader", "mate_flop", "timed")
 PAUSE = ("pause_turn", "pause_primary", "pause_append", "pause_leader")
 PARTS = {
-    "epoch and stamp fence": (with_record(weaker_parts.NoFences), ("pause_lost",), "twice"),
-    "epoch fence": (with_record(weaker_parts.NoEpochs), ("pause_lost",), "twice"),
-    "stamp fence": (with_record(weaker_parts.NoStampFence), ("pause_lost",), "twice"),
+    "epoch and stamp fence": (with_record(P.NoFences), ("pause_lost",), "twice"),
+    "epoch fence": (with_record(P.NoEpochs), ("pause_lost",), "twice"),
+    "stamp fence": (with_record(P.NoStampFence), ("pause_lost",), "twice"),
     "stamp fence behind a clock without its bound": (
-        with_record(weaker_parts.NoStampFence, almanac=weaker_parts.NoBound),
+        with_record(P.NoStampFence, almanac=P.NoBound),
         CLOCK,
         "run-order",
     ),
-    "the clock's bound, the stamp fence kept": (with_almanac(weaker_parts.NoBound), CLOCK, "run-order"),
+    "the clock's bound, the stamp fence kept": (with_almanac(P.NoBound), CLOCK, "run-order"),
     "desk looks at its hold": (
-        with_desk(weaker_parts.NoLeaseCheckDesk),
+        with_desk(P.NoLeaseCheckDesk),
         PAUSE + ("split_leader", "pause_primary"),
         "any",
     ),
-    "clock looks at its hold": (
-        with_almanac(weaker_parts.NoLeaseCheckClock),
-        ("pause_clock", "pause_stamp"),
-        "any",
-    ),
+    "clock looks at its hold": (with_almanac(P.NoLeaseCheckClock), ("pause_clock", "pause_stamp"), "any"),
     "clock waits past the bound": (
-        with_almanac(weaker_parts.NoBound),
+        with_almanac(P.NoBound),
         ("wall_jump", "pause_clock", "kill_leader"),
         "stamp-order",
     ),
     "blank disks do not vote": (
-        with_almanac(weaker_parts.BlankVotes),
+        with_almanac(P.BlankVotes),
         ("lose_disk", "split_core", "slow_disk"),
         "forgotten",
     ),
     "sync before telling": (with_almanac(weaker.Unsynced), ("power_all", "power_primary"), "forgotten"),
-    "starts are good for 1 s": (with_desk(weaker_parts.NoStartExpiry), ("late_start",), "leaving-starts"),
-    "worker's margin": (with_desk(weaker_parts.NoMargin), ("mate_cut", "mate_cut", "burst"), "twice"),
-    "fresh holds on a handover": (with_desk(weaker_parts.StaleLeases), ("kill_primary", "mate_cut"), "twice"),
-    "reads ask a majority": (with_almanac(weaker_parts.UnconfirmedReads), ("stale_reads",), "charter"),
+    "starts are good for 1 s": (with_desk(P.NoStartExpiry), ("late_start",), "leaving-starts"),
+    "worker's margin": (with_desk(P.NoMargin), ("mate_cut", "mate_cut", "burst"), "twice"),
+    "fresh holds on a handover": (with_desk(P.StaleLeases), ("kill_primary", "mate_cut"), "twice"),
+    "reads ask a majority": (with_almanac(P.UnconfirmedReads), ("stale_reads",), "charter"),
     "a new lead extends holds": (
-        with_almanac(weaker_parts.ForgetsKeepAlives),
+        with_almanac(P.ForgetsKeepAlives),
         ("kill_leader", "pause_leader", "pause_append"),
         "two-holders",
     ),
-    "a new boot beats twice": (with_desk(weaker_parts.AcceptsLateBeats), ("late_beat",), "twice"),
-    "boots remembered": (
-        with_record(weaker_parts.NoBoots, desk=weaker_parts.AcceptsLateBeats),
-        ("late_beat",),
-        "twice",
-    ),
-    "unsure is said": (with_desk(weaker_parts.NeverUnsure), ("shots",), "refused-runs"),
-    "lost workers' tasks wait": (with_record(weaker_parts.NeverWaits), ("mate_run_on", "racked"), "twice"),
-    "stops are told": (with_desk(weaker_parts.NeverSendsStops), ("cancels",), "cancelled-runs"),
-    "only what was sent": (with_record(weaker_parts.InventsJobs), ("burst",), "unsent-runs"),
-    "visible within 3 s": (with_desk(weaker_parts.StaleJobReads), ("burst",), "forgotten"),
+    "a new boot beats twice": (with_desk(P.AcceptsLateBeats), ("late_beat",), "twice"),
+    "boots remembered": (with_record(P.NoBoots, desk=P.AcceptsLateBeats), ("late_beat",), "twice"),
+    "unsure is said": (with_desk(P.NeverUnsure), ("shots",), "refused-runs"),
+    "lost workers' tasks wait": (with_record(P.NeverWaits), ("mate_run_on", "racked"), "twice"),
+    "stops are told": (with_desk(P.NeverSendsStops), ("cancels",), "cancelled-runs"),
+    "only what was sent": (with_record(P.InventsJobs), ("burst",), "unsent-runs"),
+    "visible within 3 s": (with_desk(P.StaleJobReads), ("burst",), "forgotten"),
     "edits within 2 s": (
-        with_record(weaker_parts.NoLimitCheck, desk=weaker_parts.StaleConfigurationDesk),
+        with_record(P.NoLimitCheck, desk=P.StaleConfigurationDesk),
         ("squeeze",),
         "over-limit",
     ),
-    "readable for minutes": (with_record(weaker_parts.ForgetsEndedJobs), ("burst",), "forgotten"),
-    "service within 12 s": (with_almanac(weaker_parts.SlowCampaign), ("kill_leader",), "no-service"),
+    "readable for minutes": (with_record(P.ForgetsEndedJobs), ("burst",), "forgotten"),
+    "service within 12 s": (with_almanac(P.SlowCampaign), ("kill_leader",), "no-service"),
     "not lost with one disk": (with_almanac(weaker.Alone), ("lose_disk", "split_leader"), "any"),
 }
 
