--- a/hollowhall/mast/__init__.py
+++ b/hollowhall/mast/__init__.py
@@ -1,8 +1,9 @@
-"""mast: the data plane's daemon, one on every edge machine, without a disk. It
-takes the HTTP of callers, workers and operators and delivers their asks. News of
-the charter, the primary and the fleet comes by long-polls that carry the version
-held. An ask passes through as a continuation in a slab; whoever goes away frees
-its slot at once."""
+"""The gateway (role `mast`): one stateless daemon on each edge machine, without a disk.
+
+It accepts HTTP requests from clients, workers and operators and forwards them to the primary
+scheduler or the store's leader. Changes of the configuration, the primary and the fleet arrive by
+long polls that carry the version held. The callback of a request is kept in a bounded table of
+pending requests; a client that disconnects frees its slot at once."""
 
 import asyncio
 from functools import partial
@@ -15,15 +16,15 @@
 from ..base.ring_place import MemberMixin
 from ..base.slab import Slab
 from .admission import AdmissionMixin
-from .door import DoorMixin
+from .door import LoadSheddingMixin
 from .gauges import Gauges
 from .keys import KeysMixin
 from .requests import RequestsMixin
 from .routes import RoutesMixin
-from .shell import ShellMixin
+from .shell import HttpMixin
 from .tenants import TenantsMixin
 
-BULK = ("job", "read", "state", "count", "list", "picture", "workers", "reservation", "reservations")
+BULK_OPS = ("job", "read", "state", "count", "list", "picture", "workers", "reservation", "reservations")
 
 
 class Mast(
@@ -31,36 +32,38 @@
     KeysMixin,
     TenantsMixin,
     RequestsMixin,
-    DoorMixin,
+    LoadSheddingMixin,
     RoutesMixin,
-    ShellMixin,
+    HttpMixin,
     MemberMixin,
     Daemon,
 ):
+    """The gateway daemon: holds the configuration and the primary's address, and forwards requests."""
+
     role = "mast"
 
     def __init__(self, *, params, seam):
         super().__init__(params=params, seam=seam)
         self.slab, self.gauges = Slab(cap=constants.SLAB_CAP), Gauges()
         self.charter, self.primary, self.primary_rev = {"version": 0, "rows": {}}, "", 0
-        self.bulk = {}  # the primary's address: a circuit of its own for sends and reads
-        self.tries = 0
-        self.open_door()
+        self.bulk_links = {}  # by the primary's address: a separate connection for submissions and reads
+        self.retries = 0
+        self.open_load_shedding()
 
     async def open(self):
         self.open_member()
         self.open_admission()
         self.run_task(co=self.follow_charter(), name="charter")
         self.run_task(co=self.follow_primary(), name="primary")
-        await self.open_shell()
+        await self.open_http()
 
     async def shut(self):
-        for k in self.slab.drain():
-            k(Leaving(who=self.params.id))
-        await self.shut_shell()
+        for callback in self.slab.drain():
+            callback(Leaving(who=self.params.id))
+        await self.close_http()
 
     async def leave(self):
-        """Takes nothing new and lets what is under way end."""
+        """Refuses new requests and waits for the pending ones, for a limited time."""
         await super().leave()
         for _ in range(50):
             if self.slab.n == 0:
@@ -68,116 +71,126 @@
             await asyncio.sleep(constants.WATCHDOG)
 
     async def follow_charter(self):
-        """The charter held never goes back: only a higher version is taken."""
+        """Long-polls the configuration; only a version above the one held replaces it."""
         while True:
-            o = await self.near(
+            result = await self.near(
                 op="charter", request={"version": self.charter["version"]}, wait=constants.WATCH_WAIT + 1
             )
-            if o.ok and o.value is not None and o.value["version"] > self.charter["version"]:
-                self.charter = o.value
-            elif not o.ok:
+            if result.ok and result.value is not None and result.value["version"] > self.charter["version"]:
+                self.charter = result.value
+            elif not result.ok:
                 await asyncio.sleep(constants.REDIAL)
 
     async def follow_primary(self):
+        """Long-polls the store's entry that names the primary scheduler."""
         while True:
-            o = await self.near(
+            result = await self.near(
                 op="watch", request={"p": "desk/", "rev": self.primary_rev}, wait=constants.WATCH_WAIT + 1
             )
-            if o.ok and o.value["news"] and o.value["rev"] > self.primary_rev:
-                self.primary_rev = o.value["rev"]
-                e = o.value["kv"].get("desk/primary")
-                self.turn_to(addr=e["v"]["addr"] if e else "")
-            elif not o.ok:
+            if result.ok and result.value["news"] and result.value["rev"] > self.primary_rev:
+                self.primary_rev = result.value["rev"]
+                entry = result.value["kv"].get("desk/primary")
+                self.set_primary(addr=entry["v"]["addr"] if entry else "")
+            elif not result.ok:
                 await asyncio.sleep(constants.REDIAL)
 
-    def turn_to(self, *, addr):
-        """Another primary: whoever waits for the old one is told at once, not late."""
-        old, self.primary = self.primary, addr
-        for ls in (self.links, self.bulk) if old and addr and old != addr else ():
-            if old in ls and ls[old].up:
-                ls[old].c.down()
+    def set_primary(self, *, addr):
+        """Connects to another primary. Closes the connections to the previous one, so that requests
+        that wait for it fail at once instead of timing out."""
+        previous, self.primary = self.primary, addr
+        for links in (self.links, self.bulk_links) if previous and addr and previous != addr else ():
+            if previous in links and links[previous].up:
+                links[previous].c.down()
         if addr:
             self.way(op="beat", addr=addr)
             self.way(op="job", addr=addr)
 
     def risky(self):
-        """The primary's machine, too: the three duties mostly stand on one."""
-        h = self.primary.rpartition(":")[0]
-        return super().risky() | {a for a in self.alms if a.rpartition(":")[0] == h}
+        """Also the store member on the primary's machine: the store's leader, the primary and the
+        clock's leader mostly run on one machine."""
+        machine = self.primary.rpartition(":")[0]
+        return super().risky() | {address for address in self.alms if address.rpartition(":")[0] == machine}
 
     def way(self, *, op, addr):
-        """Beats, leaves and cancels do not queue behind a crowd's sends and reads."""
-        if op not in BULK:
+        """The connection to the primary for an operation. Submissions and reads have one of their own,
+        so that heartbeats, departures and cancels do not queue behind many of them."""
+        if op not in BULK_OPS:
             return self.link(addr=addr)
-        if addr not in self.bulk:
-            for a in [a for a in self.bulk if a != self.primary]:
-                self.bulk.pop(a).close()
-            self.bulk[addr] = Link(host=self, addr=addr)
-        return self.bulk[addr]
+        if addr not in self.bulk_links:
+            for address in [address for address in self.bulk_links if address != self.primary]:
+                self.bulk_links.pop(address).close()
+            self.bulk_links[addr] = Link(host=self, addr=addr)
+        return self.bulk_links[addr]
 
-    # --- the way of an ask
+    # --- handling of a request
 
     def take(self, *, call, callback):
-        """An ask in; k is called once with its Reply. Returns a function that frees
-        the slot when the asker goes away."""
-        t0 = self.seam.now()
+        """Handles an HTTP request; calls callback once with its Reply. Returns a function that frees
+        the slot when the client disconnects."""
+        started_at = self.seam.now()
 
-        def done(o):
-            r = self.reply(o)
-            self.gauges.count(call.method, r.status, self.seam.now() - t0)
-            callback(r)
+        def done(result):
+            reply = self.reply(result)
+            self.gauges.count(call.method, reply.status, self.seam.now() - started_at)
+            callback(reply)
 
-        s = self.slab.put(callback=done)
-        if s is None:
+        slot = self.slab.put(callback=done)
+        if slot is None:
             callback(self.reply(Full(where="mast", after=constants.RETRY_AFTER)))
             return lambda: None
-        self.gauges.flight(n=self.slab.n, lag=self.lag)
+        self.gauges.set_load(n=self.slab.n, lag=self.lag)
         if self.leaving:
-            self.finish(s=s, o=Leaving(who=self.params.id))
+            self.finish(s=slot, o=Leaving(who=self.params.id))
         else:
-            self.route(call=call, s=s)
-        return lambda: self.slab.take(i=s[0], g=s[1])
+            self.route(call=call, slot=slot)
+        return lambda: self.slab.take(i=slot[0], g=slot[1])
 
     def finish(self, *, s, o):
-        k = self.slab.take(i=s[0], g=s[1])
-        if k is not None:
-            k(o)
-
-    def deliver(self, *, op, request, s, then, wait=constants.ASK_WAIT, tries=2):
-        """Delivers to the primary. Tries once more where the first was certainly
-        not taken and another primary is known; else the asker is told at once."""
-        a = self.primary
-        if not a:
-            self.finish(s=s, o=NotPrimary())
+        """Answers the request in slot s with result o; does nothing if the slot was freed."""
+        callback = self.slab.take(i=s[0], g=s[1])
+        if callback is not None:
+            callback(o)
+
+    def forward(self, *, op, request, slot, convert, wait=constants.ASK_WAIT, attempts=2):
+        """Forwards a request to the primary. Sends it once more if the first attempt was certainly not
+        accepted and another primary is known; otherwise the client gets the failure at once. convert
+        turns a successful result into the one that is answered; wait: s."""
+        address = self.primary
+        if not address:
+            self.finish(s=slot, o=NotPrimary())
             return
-        self.way(op=op, addr=a).ask(
+        self.way(op=op, addr=address).ask(
             op=op,
             request=request,
             wait=wait,
-            callback=partial(self.delivered, op, request, s, then, wait, tries, a),
+            callback=partial(self.delivered, op, request, slot, convert, wait, attempts, address),
         )
 
-    def delivered(self, op, request, s, then, wait, tries, a, o):
-        if isinstance(o, (NotPrimary, CircuitDown)) and tries > 1:
-            hint = getattr(o, "hint", "")
-            if hint and hint != a:
+    def delivered(self, op, request, slot, convert, wait, attempts, address, result):
+        if isinstance(result, (NotPrimary, CircuitDown)) and attempts > 1:
+            hint = getattr(result, "hint", "")
+            if hint and hint != address:
                 self.primary = hint
-            if self.primary and (self.primary != a or not self.way(op=op, addr=a).up):
-                self.tries += 1
+            if self.primary and (self.primary != address or not self.way(op=op, addr=address).up):
+                self.retries += 1
                 asyncio.get_running_loop().call_later(
-                    0.05, lambda: self.deliver(op=op, request=request, s=s, then=then, wait=wait, tries=1)
+                    0.05,
+                    lambda: self.forward(
+                        op=op, request=request, slot=slot, convert=convert, wait=wait, attempts=1
+                    ),
                 )
                 return
-        self.finish(s=s, o=then(o) if o.ok else o)
+        self.finish(s=slot, o=convert(result) if result.ok else result)
 
-    def ask_store(self, *, op, request, s, then, safe):
-        """Asks the store's leader, in a short task that holds the slot's place."""
+    def ask_store(self, *, op, request, slot, convert, safe):
+        """Sends a request to the store's leader from a task and answers the slot with the result. With
+        safe=False an unanswered request ends as Unsure, since the store may have applied it."""
 
         async def go():
-            o = await self.store(op=op, request=request, safe=safe, wait=2.0, total=2.5)
-            if isinstance(o, NotLeader):
-                o = Unsure(why="store") if not safe else o
-            self.finish(s=s, o=then(o) if o.ok else o)
+            result = await self.store(op=op, request=request, safe=safe, wait=2.0, total=2.5)
+            if isinstance(result, NotLeader):
+                result = Unsure(why="store") if not safe else result
+            self.finish(s=slot, o=convert(result) if result.ok else result)
 
         self.run_task(co=go(), name=op)
 
--- a/hollowhall/mast/admission.py
+++ b/hollowhall/mast/admission.py
@@ -1,12 +1,12 @@
-"""Admission of tenants' jobs at an edge daemon, after the source's global admission control. The daemon
-keeps a bucket of tokens for each tenant whose jobs came to it lately, and takes a job in or refuses
-it from that bucket alone: no request waits on a call. Every few seconds, and at once when a bucket
-runs dry, it asks the primary for a refill and tells what it holds and what was asked for.
+"""Admission control of tenants' jobs at a gateway. It keeps a token bucket for each tenant that sent it
+jobs recently, and admits or refuses a job from that bucket alone: no request waits for a call. Every
+few seconds, and at once when a bucket is empty, it asks the primary for a refill and reports what it
+holds and what was requested.
 
-A bucket lets a job in while it has tokens, and pays for the whole of it, so that a job larger than
-what is left is not refused for ever; the next refills pay what it owes. A tenant that is new here may owe
-a little before its first refill. What was lent is void once its term is over: without contact a daemon spends what it has,
-and then refuses."""
+A bucket admits a job while it has tokens, and pays its whole cost, so that a job larger than what is
+left is not refused for ever; later refills pay the debt. A tenant that is new at this gateway may run
+up a small debt before its first refill. Granted tokens expire after a term: a gateway without contact
+to the primary spends what it has, and then refuses."""
 
 import asyncio
 from dataclasses import dataclass
@@ -22,19 +22,19 @@
     """A tenant's tokens at this daemon."""
 
     tokens: int
-    until: float  # s; the end of the term of what was lent
-    least: int = 0  # tokens; down to this a job is let in
-    asked: int = 0  # tokens that jobs asked for since the last refill
-    active: float = 0.0  # s; when a job of the tenant came last
+    until: float  # s; when the granted tokens expire
+    min_tokens: int = 0  # a job is admitted while there are more tokens than this
+    asked: int = 0  # tokens that jobs requested since the last refill
+    last_active_at: float = 0.0  # s; time of the tenant's last job
     admitted: int = 0  # jobs since the daemon's start
     refused: int = 0
 
 
 def charge_of(*, spec, limits):
-    """What a job costs: milliseconds of its tenant's whole limit, in the resource it takes most of. By
-    size (tasks, their room, their estimated time) and kind: a gang, which must start whole, costs
-    double; a step that lasts counts for a fixed time. At most CHARGE_MOST, since what a job may run
-    at once is bound by the limit itself. 0 without limits."""
+    """The cost of a job in tokens: milliseconds of its tenant's whole limit, in the resource it uses most
+    of. It depends on size (tasks, their resources, their estimated time) and kind: a gang, which must
+    start as a whole, costs CHARGE_GANG_TIMES as much; a long-running step counts for a fixed time. At
+    most CHARGE_MOST, since the limit itself bounds what a job may run at once. 0 without limits."""
     if not any(limits):
         return 0
     total = 0
@@ -47,16 +47,18 @@
 
 
 class AdmissionMixin:
-    """The buckets of an edge daemon and their refills."""
+    """The token buckets of a gateway and their refills."""
 
     def open_admission(self):
         self.buckets, self.life = {}, ""
-        self.refill_seq = self.refill_had = 0  # number of the last refill; of the last answer taken
-        self.refilled_at, self.runs_dry = -constants.LOAN_S, asyncio.Event()
-        self.refilled = True  # whether the last refill was answered
+        self.refill_seq = self.refill_answered = (
+            0  # numbers of the last refill request and the last one answered
+        )
+        self.refilled_at, self.refill_wanted = -constants.LOAN_S, asyncio.Event()
+        self.last_refill_ok = True  # whether the last refill request succeeded
 
     def begin_refills(self):
-        """With the first bucket: a daemon whose callers have no tenants with limits asks for nothing."""
+        """Called with the first bucket: a gateway without tenants that have limits requests no refills."""
         self.life = f"{self.params.id}/{self.seam.rng.getrandbits(32):08x}"
         self.run_task(co=self.refill_buckets(), name="refill")
 
@@ -67,62 +69,62 @@
         return room_limits(row) if row is not None else [0, 0, 0]
 
     def bucket_of(self, tenant):
-        """A tenant's bucket, with what is void by now taken out of it."""
+        """A tenant's bucket without its expired tokens; created, with a refill request, if it is new."""
         now = self.seam.now()
         bucket = self.buckets.get(tenant)
         if bucket is None:
             if not self.life:
                 self.begin_refills()
             bucket = self.buckets[tenant] = Bucket(
-                tokens=0, least=-constants.BUCKET_FIRST, until=now + constants.LOAN_S
+                tokens=0, min_tokens=-constants.BUCKET_FIRST, until=now + constants.LOAN_S
             )
-            self.runs_dry.set()
+            self.refill_wanted.set()
         elif now > bucket.until:
             bucket.tokens = min(0, bucket.tokens)
         return bucket
 
     def admit(self, *, tenant, spec):
-        """Whether a job of a tenant is taken in now: Done with what it was charged, to be given back
-        by `refund` if the job is not new or not taken; else Throttled, or BudgetUnknown where this
-        daemon has had no contact for so long that it cannot know."""
+        """Admits or refuses a tenant's job. Success with the charge, which `refund` returns if the job is
+        not new or not accepted; otherwise Throttled, or BudgetUnknown if this gateway has been without
+        a refill for so long that it cannot know the tenant's budget."""
         charge = charge_of(spec=spec, limits=self.limits_of_tenant(tenant)) if tenant else 0
         if not charge:
             return Success(value=0)
         bucket = self.bucket_of(tenant)
-        bucket.active, bucket.asked = self.seam.now(), bucket.asked + charge
-        if bucket.tokens > bucket.least:
+        bucket.last_active_at, bucket.asked = self.seam.now(), bucket.asked + charge
+        if bucket.tokens > bucket.min_tokens:
             bucket.tokens -= charge
             bucket.admitted += 1
             self.gauges.admitted(tenant)
             if bucket.tokens <= 0:
-                self.runs_dry.set()
+                self.refill_wanted.set()
             return Success(value=charge)
         bucket.refused += 1
         self.gauges.refused(tenant)
-        self.runs_dry.set()
+        self.refill_wanted.set()
         kind = Throttled if self.seam.now() - self.refilled_at < constants.LOAN_S else BudgetUnknown
         return kind(resource="tenant", operation="submit", limit="budget", after=constants.RETRY_AFTER)
 
     def refund(self, *, tenant, charge):
-        """A job that was admitted is not taken, or was there before."""
+        """Returns the charge of an admitted job that was not accepted or existed before."""
         bucket = self.buckets.get(tenant)
         if bucket is not None and charge:
             bucket.tokens += charge
             bucket.asked = max(0, bucket.asked - charge)
 
     def submit(self, *, request, tenant, callback, wait):
-        """Sends a job to the primary if its tenant's bucket lets it in; otherwise k is told at once.
-        Its tokens come back where it is not new, or surely not taken. request: name, spec, digest;
-        tenant: whose key it came with, '' for none; wait: s, at most. Returns a function that frees
-        the slot when the client goes away."""
+        """Sends a job to the primary if its tenant's bucket admits it; otherwise calls callback at once.
+        The charge is refunded if the job is not new or was certainly not accepted. request: name, spec,
+        digest; tenant: of the key that came with it, '' for none; wait: s, at most. Returns a function
+        that frees the slot when the client disconnects."""
         admitted = self.admit(tenant=tenant, spec=request["spec"])
         if not admitted.ok:
             callback(admitted)
             return lambda: None
         if tenant:
             request = request | {"spec": request["spec"] | {"tenant": tenant}}
-        told = partial(self.submitted, tenant=tenant, charge=admitted.value, callback=callback)
-        return self.request(op="job", request=request, callback=told, wait=wait)
+        on_result = partial(self.submitted, tenant=tenant, charge=admitted.value, callback=callback)
+        return self.request(op="job", request=request, callback=on_result, wait=wait)
 
     def submitted(self, result, *, tenant, charge, callback):
         unused = not result.value.get("new", True) if result.ok else result.taken == "no"
@@ -140,25 +142,28 @@
                 await self.refill()
 
     async def refill_due(self):
-        """Until the next period, or until a bucket runs dry, with a gap to the last refill."""
-        gap = constants.REFILL_GAP if self.refilled else constants.REFILL_AGAIN
+        """Waits for the next period or until a bucket is empty, at least a pause after the last refill."""
+        gap = constants.REFILL_GAP if self.last_refill_ok else constants.REFILL_AGAIN
         await asyncio.sleep(gap)
         try:
-            await asyncio.wait_for(self.runs_dry.wait(), constants.REFILL_S - gap)
+            await asyncio.wait_for(self.refill_wanted.wait(), constants.REFILL_S - gap)
         except TimeoutError:
             pass
-        self.runs_dry.clear()
+        self.refill_wanted.clear()
 
     def drop_idle_buckets(self):
-        """Buckets that nobody asked of for a term, or of tenants that are gone: what they hold goes
-        back with the next refill, which does not name them."""
+        """Drops buckets that were unused for a term, and those of removed tenants. The primary takes
+        their tokens back with the next refill request, which does not name them."""
         now, tenants = self.seam.now(), self.charter.get("tenants") or {}
         self.buckets = {
-            a: b for a, b in self.buckets.items() if a in tenants and now - b.active < constants.LOAN_S
+            tenant: bucket
+            for tenant, bucket in self.buckets.items()
+            if tenant in tenants and now - bucket.last_active_at < constants.LOAN_S
         }
 
     async def refill(self):
-        """Asks the primary once; whatever the answer, the next refill says what was taken of it."""
+        """Sends one refill request to the primary. The next one says which answer was received last, so
+        that the primary can account for lost answers."""
         if not self.primary:
             return
         sent, self.refill_seq = self.seam.now(), self.refill_seq + 1
@@ -166,21 +171,21 @@
         request = {
             "life": self.life,
             "seq": self.refill_seq,
-            "have": self.refill_had,
-            "rows": [[tenant, self.buckets[tenant].tokens, n] for tenant, n in asked.items()],
-            "counts": {a: [b.admitted, b.refused] for a, b in self.buckets.items()},
+            "have": self.refill_answered,
+            "rows": [[tenant, self.buckets[tenant].tokens, count] for tenant, count in asked.items()],
+            "counts": {name: [bucket.admitted, bucket.refused] for name, bucket in self.buckets.items()},
         }
         link = self.way(op="refill", addr=self.primary)
         result = await link.call(op="refill", request=request, wait=constants.REFILL_WAIT)
         if not result.ok:
-            if self.refilled:
+            if self.last_refill_ok:
                 self.say(log_events.REFILL_FAILED, failure=type(result).__name__)
-            self.refilled = False
+            self.last_refill_ok = False
             return
-        self.refill_had, self.refilled_at, self.refilled = self.refill_seq, sent, True
+        self.refill_answered, self.refilled_at, self.last_refill_ok = self.refill_seq, sent, True
         for tenant, tokens in result.value["granted"].items():
             if tenant in self.buckets:
                 bucket = self.buckets[tenant]
                 bucket.tokens, bucket.until = bucket.tokens + tokens, sent + constants.LOAN_S
-                bucket.least = 0
+                bucket.min_tokens = 0
                 bucket.asked = max(0, bucket.asked - asked[tenant])
--- a/hollowhall/mast/door.py
+++ b/hollowhall/mast/door.py
@@ -1,36 +1,46 @@
-"""The door of a mast: whom it lets in when too many come. How full it is, it knows by how
-late its loop comes round and by the asks in flight. While it is too full the part of sends
-that it refuses grows, else it shrinks; the least urgent of those that come lately make up
-that part, whatever their urgency is called, and the most urgent ones are let in until it
-could not even keep beats alive. Whoever is refused hears so at once, and when to come
-back. Beats, leaves, cancels and operators' asks are never refused."""
+"""Load shedding at the gateway.
+
+The load is measured by the event loop's lag and the requests in flight. While it is above its limit
+the fraction of submissions that are refused rises, otherwise it falls. The fraction is taken from the
+least urgent of the recent submissions, relative to one another and not by absolute urgency; the most
+urgent ones are accepted until the load is so high that even heartbeats would be late. A refused
+client is told at once, with a time after which to retry. Heartbeats, departures, cancels and
+operators' requests are never refused."""
 
 from ..base import constants, log_events
 from ..base.problems import Shed
 
 
-class DoorMixin:
-    def open_door(self):
-        self.shed_f, self.took_f, self.faded = 0.0, 0.0, self.seam.now()
+class LoadSheddingMixin:
+    """Decides which job submissions and reads are refused under load."""
+
+    def open_load_shedding(self):
+        self.shed_f, self.admitted_recently, self.decayed_at = 0.0, 0.0, self.seam.now()
         self.cut, self.cut_at, self.came = 0.0, self.seam.now(), {}
-        self.shed_n, self.shed_said = 0, -constants.SHED_SAY
+        self.shed_since_log, self.shed_logged_at = 0, -constants.SHED_SAY
 
-    def full(self):
+    def load_ratio(self):
+        """The load relative to its limit: 1.0 is full."""
         return max(self.slab.n / self.params.shed_at, self.lag / constants.LAG_FULL)
 
     def crowded(self, *, lane, s, read=False):
-        """Whether this ask was refused. Reads are, past what is full, whoever asks."""
-        u = self.charter["rows"].get(lane, {}).get("urgency", 0)
-        self.fade()
+        """Whether this request was refused, and answered with Shed. Reads are refused whenever the load
+        is above 1.0, whatever their urgency."""
+        urgency = self.charter["rows"].get(lane, {}).get("urgency", 0)
+        self.decay_counts()
         if not read:
-            self.came[u] = self.came.get(u, 0.0) + 1.0
-        full = self.full()
-        if full > constants.DOOR_SHUT or (full > 1.0 if read else self.among_cut(u)):
+            self.came[urgency] = self.came.get(urgency, 0.0) + 1.0
+        load_ratio = self.load_ratio()
+        if load_ratio > constants.DOOR_SHUT or (
+            load_ratio > 1.0 if read else self.in_refused_fraction(urgency)
+        ):
             self.gauges.shed(lane)
-            self.shed_n += 1
-            if self.seam.now() - self.shed_said > constants.SHED_SAY:
-                self.say(log_events.ASK_SHED, lane=lane, since_last=self.shed_n, in_flight=self.slab.n)
-                self.shed_said, self.shed_n = self.seam.now(), 0
+            self.shed_since_log += 1
+            if self.seam.now() - self.shed_logged_at > constants.SHED_SAY:
+                self.say(
+                    log_events.ASK_SHED, lane=lane, since_last=self.shed_since_log, in_flight=self.slab.n
+                )
+                self.shed_logged_at, self.shed_since_log = self.seam.now(), 0
             self.shed_f += 1.0
             self.finish(
                 s=s,
@@ -42,30 +52,34 @@
                         + int(
                             constants.SHED_SPAN
                             * self.shed_f
-                            / (self.took_f + 1.0)
-                            * 2 ** (-u / constants.URGENT_TWICE)
+                            / (self.admitted_recently + 1.0)
+                            * 2 ** (-urgency / constants.URGENT_TWICE)
                         ),
                     ),
                 ),
             )
             return True
-        self.took_f += 1.0
+        self.admitted_recently += 1.0
         return False
 
-    def among_cut(self, u):
-        """Whether a send of this urgency is of the part now refused: all of those below
-        it are, before any of its own, and of its own as many as make up the part."""
-        least = sum(n for x, n in self.came.items() if x < u)
-        over = self.cut * sum(self.came.values()) - least
-        return over > 0 and self.seam.rng.random() * self.came[u] < over
+    def in_refused_fraction(self, urgency):
+        """Whether a submission of this urgency falls into the refused fraction. All less urgent ones are
+        refused before any of this urgency; of this one at random as many as fill the rest."""
+        lower = sum(count for other, count in self.came.items() if other < urgency)
+        remaining = self.cut * sum(self.came.values()) - lower
+        return remaining > 0 and self.seam.rng.random() * self.came[urgency] < remaining
 
-    def fade(self):
-        """Counts are of the last seconds: what was shed and taken, and who came. The part
-        that is cut moves with how full it is, and with time, not with how many ask."""
+    def decay_counts(self):
+        """Decays the counts of recent submissions exponentially, and adjusts the refused fraction. That
+        fraction changes with the load and the time elapsed, not with the number of requests."""
         now = self.seam.now()
-        f = 0.5 ** ((now - self.faded) / constants.SHED_SPAN)
-        self.shed_f, self.took_f, self.faded = self.shed_f * f, self.took_f * f, now
-        self.came = {u: n * f for u, n in self.came.items() if n * f > 0.01}
-        dt, self.cut_at = min(1.0, now - self.cut_at), now
-        step = constants.CUT_UP if self.full() > constants.DOOR_FULL else -constants.CUT_DOWN
-        self.cut = max(0.0, min(constants.CUT_MOST, self.cut + step * dt))
+        factor = 0.5 ** ((now - self.decayed_at) / constants.SHED_SPAN)
+        self.shed_f, self.admitted_recently, self.decayed_at = (
+            self.shed_f * factor,
+            self.admitted_recently * factor,
+            now,
+        )
+        self.came = {urgency: count * factor for urgency, count in self.came.items() if count * factor > 0.01}
+        elapsed, self.cut_at = min(1.0, now - self.cut_at), now
+        step = constants.CUT_UP if self.load_ratio() > constants.DOOR_FULL else -constants.CUT_DOWN
+        self.cut = max(0.0, min(constants.CUT_MOST, self.cut + step * elapsed))
--- a/hollowhall/mast/keys.py
+++ b/hollowhall/mast/keys.py
@@ -1,5 +1,5 @@
-"""Whose call it is: tenants' keys at an edge daemon, looked up in the configuration that it holds. Only
-digests are held here, and no answer, log line or figure tells a key."""
+"""Authentication of tenants by API key, against the configuration that the gateway holds. Only digests
+of keys are held, and no answer, log line or metric contains a key."""
 
 import hmac
 
@@ -16,12 +16,12 @@
 
 
 class KeysMixin:
-    """Tenants by key, for the configuration held now."""
+    """An index of tenants by key digest, rebuilt when the configuration changes."""
 
-    keys_version, tenant_by_digest = -1, {}  # the configuration's version that the index is of
+    keys_version, tenant_by_digest = -1, {}  # the index, and the configuration version it was built from
 
     def tenants_configured(self):
-        """Whether the configuration names tenants at all; without, nobody is asked for a key."""
+        """Whether the configuration has tenants; without them no call needs a key."""
         return self.charter.get("tenants") is not None
 
     def tenant_index(self):
@@ -32,16 +32,16 @@
         return self.tenant_by_digest
 
     def tenant_of_key(self, key):
-        """The tenant that has this key; '' where none does."""
+        """The tenant that has this key; '' if none has. Compares in constant time."""
         digest = key_digest(key)
         tenant = self.tenant_index().get(digest, "")
         known = self.charter["tenants"][tenant]["keys"] if tenant else ()
         return tenant if any([hmac.compare_digest(digest, other) for other in known]) else ""
 
     def authorize(self, *, key, lane=""):
-        """A result with the tenant whose call it is: '' where the configuration names no tenants, or
-        the queue asks for no key. Unauthorized where a key is wanted and this is none. key: a text or
-        None; lane: the queue that the call is for, '' where the call names none."""
+        """Success with the caller's tenant, which is '' if the configuration has no tenants or the queue
+        needs no key; Unauthorized if a key is needed and this one is missing or unknown. key: str or
+        None; lane: the queue that the call is for, '' if the call names none."""
         if not self.tenants_configured():
             return Success(value="")
         tenant = self.tenant_of_key(key) if key else ""
--- a/hollowhall/mast/operators.py
+++ b/hollowhall/mast/operators.py
@@ -1,5 +1,5 @@
-"""A mast's asks of operators: the charter, the store's members, the fleet, a picture of
-the record. A very large table is checked in slices beside all else."""
+"""The gateway's requests for operators: the configuration, the store's members, the fleet and a
+snapshot of the scheduler's state. A very large table is validated in slices, between other requests."""
 
 import asyncio
 
@@ -14,27 +14,31 @@
 
 
 class EditSchema(Schema):
+    """The body of a configuration change; at least one of rows and tenants is required."""
+
     base = fields.Int(strict=True, required=True, validate=validate.Range(min=0))
     rows = fields.Dict()
     tenants = fields.Dict()
 
     @validates_schema
-    def whole(self, d, **kw):
-        if "rows" not in d and "tenants" not in d:
+    def whole(self, data, **kw):
+        if "rows" not in data and "tenants" not in data:
             raise ValidationError("Missing data for required field.", "rows")
 
 
 class MembersSchema(Schema):
+    """The body of a membership change of the store."""
+
     base = fields.Int(strict=True, required=True, validate=validate.Range(min=0))
     do = fields.Str(required=True, validate=validate.OneOf(["add", "remove", "replace"]))
     addr = fields.Str(required=True, validate=address)
     by = fields.Str(load_default="", validate=validate.Length(max=64))
 
     @validates_schema
-    def whole(self, d, **kw):
-        if d.get("do") == "replace":
+    def whole(self, data, **kw):
+        if data.get("do") == "replace":
             try:
-                address(d.get("by", ""))
+                address(data.get("by", ""))
             except ValidationError as e:
                 raise ValidationError(e.messages, "by") from None
 
@@ -42,68 +46,83 @@
 MEMBERS, EDIT = MembersSchema(), EditSchema()
 
 
-def load(schema, d):
+def load(schema, data):
+    """The validated data; raises Raised(BadInput) with every error."""
     try:
-        return schema.load(d)
+        return schema.load(data)
     except ValidationError as e:
         raise Raised(BadInput(errors=flat(e=e.messages))) from None
 
 
 class OperatorsMixin:
+    """Handlers of the operators' HTTP requests."""
+
     def charter_get(self, call, s):
-        self.ask_store(op="charter_now", request={"public": True}, s=s, safe=True, then=lambda o: o)
+        self.ask_store(
+            op="charter_now", request={"public": True}, slot=s, safe=True, convert=lambda result: result
+        )
 
     def charter_edit(self, call, s):
-        d = load(EDIT, self.body(call))
-        self.run_task(co=self.edit_rows(d=d, whole=call.method == "PUT", s=s), name="edit")
-
-    async def edit_rows(self, *, d, whole, s):
-        """A large table is checked in slices, so that others' asks go between them."""
-        g, rows = rows_checked(d.get("rows", {})), None
+        data = load(EDIT, self.body(call))
+        self.run_task(co=self.edit_rows(data=data, whole=call.method == "PUT", slot=s), name="edit")
+
+    async def edit_rows(self, *, data, whole, slot):
+        """Validates a configuration change and sends it to the store. A large table is validated in
+        slices with pauses as long as each slice, so that other requests are handled between them.
+        whole: the rows replace the whole table, instead of single rows."""
+        check, rows = rows_checked(data.get("rows", {})), None
         while rows is None:
-            t = self.seam.now()
+            started_at = self.seam.now()
             try:
-                self.seam.spend(s=next(g) * constants.ROW_CHECK)
-            except StopIteration as e:
-                rows = e.value
-            except Raised as e:
-                self.finish(s=s, o=e.problem)
+                self.seam.spend(s=next(check) * constants.ROW_CHECK)
+            except StopIteration as error:
+                rows = error.value
+            except Raised as error:
+                self.finish(s=slot, o=error.problem)
                 return
-            except Exception as e:  # a broken ask must not cost the mast
-                self.oops(e)
-                self.finish(s=s, o=Broken(where="mast", why=type(e).__name__))
+            except Exception as error:  # a fault in one request must not end the gateway
+                self.oops(error)
+                self.finish(s=slot, o=Broken(where="mast", why=type(error).__name__))
                 return
             else:
                 await asyncio.sleep(0)
-                await asyncio.sleep(self.seam.now() - t)
+                await asyncio.sleep(self.seam.now() - started_at)
         try:
-            tenants = check_tenants(d["tenants"]) if "tenants" in d else None
-        except Raised as e:
-            self.finish(s=s, o=e.problem)
+            tenants = check_tenants(data["tenants"]) if "tenants" in data else None
+        except Raised as error:
+            self.finish(s=slot, o=error.problem)
             return
-        if whole and ("rows" not in d or None in [*rows.values(), *(tenants or {}).values()]):
-            self.finish(s=s, o=BadInput(errors=[["rows", "a whole table has no null rows"]]))
+        if whole and ("rows" not in data or None in [*rows.values(), *(tenants or {}).values()]):
+            self.finish(s=slot, o=BadInput(errors=[["rows", "a whole table has no null rows"]]))
             return
-        edit = {"base": d["base"], "rows": rows, "whole": whole}
+        edit = {"base": data["base"], "rows": rows, "whole": whole}
         if tenants is None:
-            self.ask_store(op="edit", s=s, safe=False, then=lambda o: o, request=edit)
+            self.ask_store(op="edit", slot=slot, safe=False, convert=lambda result: result, request=edit)
         else:
             self.ask_store(
-                op="configure", s=s, safe=False, then=lambda o: o, request=edit | {"tenants": tenants}
+                op="configure",
+                slot=slot,
+                safe=False,
+                convert=lambda result: result,
+                request=edit | {"tenants": tenants},
             )
 
     def members_get(self, call, s):
-        self.ask_store(op="members_now", request={}, s=s, safe=True, then=lambda o: o)
+        self.ask_store(op="members_now", request={}, slot=s, safe=True, convert=lambda result: result)
 
     def members_change(self, call, s):
         self.ask_store(
-            op="members", s=s, safe=False, then=lambda o: o, request=load(MEMBERS, self.body(call))
+            op="members",
+            slot=s,
+            safe=False,
+            convert=lambda result: result,
+            request=load(MEMBERS, self.body(call)),
         )
 
     def fleet_get(self, call, s):
-        def then(o):
+        def then(result):
             return Success(
-                value=o.value
+                value=result.value
                 | {
                     "daemons": self.view,
                     "view": self.view_rev,
@@ -112,13 +131,13 @@
                 }
             )
 
-        self.deliver(op="workers", request={}, s=s, then=then)
+        self.forward(op="workers", request={}, slot=s, convert=then)
 
-    def picture(self, call, s):
-        def then(o):
-            r = o.value["record"]
-            r["jobs"] = jobs_of(r)
-            r.pop("blobs", None)
-            return o
+    def snapshot(self, call, s):
+        def then(result):
+            record = result.value["record"]
+            record["jobs"] = jobs_of(record)
+            record.pop("blobs", None)
+            return result
 
-        self.deliver(op="picture", request={}, s=s, then=then)
+        self.forward(op="picture", request={}, slot=s, convert=then)
--- a/hollowhall/mast/requests.py
+++ b/hollowhall/mast/requests.py
@@ -1,7 +1,8 @@
-"""Requests to the primary that may be sent again: a job under its name, a cancel, a read.
-One is tried for as long as its client can still use the answer: at once where another
-primary is known, else as soon as one is. When that time is over the client is told: 'no'
-where no attempt can have been taken, else 'unsure'."""
+"""Idempotent requests to the primary, which may be sent again: a job under its name, a cancel, a read.
+
+A request is retried for as long as its client can still use the answer, until a primary answers. When
+that time is over the client gets a failure: taken='no' if no attempt can have been accepted,
+otherwise 'unsure'."""
 
 import asyncio
 from dataclasses import dataclass
@@ -11,86 +12,98 @@
 from ..base import constants
 from ..base.problems import Broken, CircuitDown, Full, Late, Leaving, NotPrimary, Success, Unsure
 
-READS = ("state", "count", "read", "list")  # what changes nothing is never unsure
+READS = ("state", "count", "read", "list")  # these change nothing, so their failures are never 'unsure'
 
 
 @dataclass(kw_only=True)
 class Request:
+    """A request that is retried until its deadline."""
+
     op: str
-    b: dict
+    body: dict
     slot: tuple
-    end: float  # s; when it is given up
-    unsure: bool = False  # an attempt may have been taken
+    deadline: float  # s
+    unsure: bool = False  # whether an attempt may have been accepted
     attempt: int = 0
-    last: Any = None
+    last_result: Any = None
 
 
 class RequestsMixin:
+    """Sends requests to the primary and retries them."""
+
     def request(self, *, op, request, callback, wait):
-        """k is called once with the outcome; returns a function that frees the slot when
-        the client goes away. wait: s, at most."""
-        s = self.slab.put(callback=callback)
-        if s is None:
+        """Sends a request; callback is called once with the result. Returns a function that frees the
+        slot when the client disconnects. wait: s, at most."""
+        slot = self.slab.put(callback=callback)
+        if slot is None:
             callback(Full(where="mast", after=constants.RETRY_AFTER))
             return lambda: None
         if self.leaving:
-            self.finish(s=s, o=Leaving(who=self.params.id))
+            self.finish(s=slot, o=Leaving(who=self.params.id))
             return lambda: None
-        self.gauges.flight(n=self.slab.n, lag=self.lag)
-        self.try_request(Request(op=op, b=request, slot=s, end=self.seam.now() + wait))
-        return lambda: self.slab.take(i=s[0], g=s[1])
+        self.gauges.set_load(n=self.slab.n, lag=self.lag)
+        self.try_request(Request(op=op, body=request, slot=slot, deadline=self.seam.now() + wait))
+        return lambda: self.slab.take(i=slot[0], g=slot[1])
 
-    def waits(self, r):
-        i, g = r.slot
-        return i < len(self.slab.gens) and self.slab.gens[i] == g
+    def is_pending(self, request):
+        """Whether the request is still unanswered and its client connected."""
+        index, generation = request.slot
+        return index < len(self.slab.gens) and self.slab.gens[index] == generation
 
-    def try_request(self, r):
-        left = r.end - self.seam.now()
-        if not self.waits(r):
+    def try_request(self, request):
+        """Sends the next attempt, or ends the request if its time is over or the store unreachable."""
+        left = request.deadline - self.seam.now()
+        if not self.is_pending(request):
             return
         if left <= 0:
-            self.give_up(r)
+            self.give_up(request)
             return
-        if not any(self.link(addr=x).up for x in self.alms):
-            self.give_up(r)  # cut off: another daemon may serve its client sooner
+        if not any(self.link(addr=store_address).up for store_address in self.alms):
+            self.give_up(request)  # isolated: another gateway may serve the client sooner
             return
-        a = self.primary
-        if not a or not self.way(op=r.op, addr=a).up:
-            self.again(r=r, o=NotPrimary())
+        address = self.primary
+        if not address or not self.way(op=request.op, addr=address).up:
+            self.retry_later(request=request, result=NotPrimary())
             return
-        r.attempt += 1
-        n = r.attempt
-        self.way(op=r.op, addr=a).ask(
-            op=r.op, request=r.b, wait=min(left, constants.ATTEMPT_WAIT), callback=partial(self.back, r, n, a)
+        request.attempt += 1
+        attempt = request.attempt
+        self.way(op=request.op, addr=address).ask(
+            op=request.op,
+            request=request.body,
+            wait=min(left, constants.ATTEMPT_WAIT),
+            callback=partial(self.back, request, attempt, address),
         )
 
-    def back(self, r, n, a, o):
-        if n != r.attempt or not self.waits(r):
+    def back(self, request, attempt, address, result):
+        """Handles the result of an attempt; one of an earlier attempt is ignored."""
+        if attempt != request.attempt or not self.is_pending(request):
             return
-        if not o.ok and o.taken == "no" and r.unsure and o.status in (429, 503):
-            self.again(r=r, o=o)  # this attempt was not taken; an earlier one may have been
+        if not result.ok and result.taken == "no" and request.unsure and result.status in (429, 503):
+            # This attempt was refused, but an earlier one may have been accepted.
+            self.retry_later(request=request, result=result)
             return
-        if o.ok or not isinstance(o, (NotPrimary, CircuitDown, Late, Unsure, Broken)):
-            self.finish(s=r.slot, o=o)
+        if result.ok or not isinstance(result, (NotPrimary, CircuitDown, Late, Unsure, Broken)):
+            self.finish(s=request.slot, o=result)
             return
-        r.unsure = r.unsure or o.taken != "no"
-        hint = getattr(o, "hint", "")
-        if hint and hint != a and self.primary == a:
+        request.unsure = request.unsure or result.taken != "no"
+        hint = getattr(result, "hint", "")
+        if hint and hint != address and self.primary == address:
             self.primary = hint
-        self.again(r=r, o=o)
+        self.retry_later(request=request, result=result)
 
-    def again(self, *, r, o):
-        r.last = o
-        self.tries += 1
-        asyncio.get_running_loop().call_later(constants.ATTEMPT_GAP, self.try_request, r)
+    def retry_later(self, *, request, result):
+        request.last_result = result
+        self.retries += 1
+        asyncio.get_running_loop().call_later(constants.ATTEMPT_GAP, self.try_request, request)
 
-    def give_up(self, r):
-        unsure = r.unsure and r.op not in READS
-        self.finish(s=r.slot, o=Unsure(why="no primary in time") if unsure else NotPrimary())
+    def give_up(self, request):
+        """Ends a request without an answer: Unsure if an attempt of a change may have been accepted."""
+        unsure = request.unsure and request.op not in READS
+        self.finish(s=request.slot, o=Unsure(why="no primary in time") if unsure else NotPrimary())
 
     def is_ready(self):
-        """Whether this mast can serve: it has a charter, and reaches the store."""
-        up = any(self.link(addr=a).up for a in self.alms)
+        """Success if this gateway can serve: it has a configuration and a connection to the store."""
+        up = any(self.link(addr=address).up for address in self.alms)
         if self.leaving or self.charter["version"] < 2 or not up:
             return NotPrimary()
         return Success(value={"ready": True})
--- a/hollowhall/mast/routes.py
+++ b/hollowhall/mast/routes.py
@@ -1,6 +1,5 @@
-"""A mast's asks by method and path. Bad input is refused here, before anything is
-delivered; what is refused with taken=no certainly never runs. docs/http.md is the
-reference."""
+"""Routes the gateway's HTTP requests by method and path. Bad input is refused here, before anything is
+forwarded; a request refused with taken=no certainly never runs. See docs/http.md."""
 
 import json
 
@@ -15,23 +14,27 @@
 from .operators import OperatorsMixin, load
 from .reservations import ReservationsMixin
 
-RUN = validate.Regexp(r"^[1-9][0-9]{0,18}$")
+RUN_ID = validate.Regexp(r"^[1-9][0-9]{0,18}$")
 
 
 class EndSchema(Schema):
-    runId = fields.Str(required=True, validate=RUN)
+    """An ended run in a worker's heartbeat."""
+
+    runId = fields.Str(required=True, validate=RUN_ID)
     how = fields.Str(required=True, validate=validate.OneOf(["ok", "bad", "stopped"]))
     why = fields.Str(load_default="", validate=validate.Length(max=200))
 
 
 class BeatSchema(Schema):
+    """The body of a worker's heartbeat."""
+
     boot = fields.Str(required=True, validate=NAME)
     seq = fields.Int(strict=True, required=True, validate=validate.Range(min=0))
     kind = fields.Str(required=True, validate=NAME)
     zone = fields.Str(load_default="", validate=validate.Length(max=64))
     rack = fields.Str(load_default="", validate=validate.Length(max=64))
     room = fields.Nested(RoomSchema, required=True)
-    running = fields.List(fields.Str(validate=RUN), load_default=list)
+    running = fields.List(fields.Str(validate=RUN_ID), load_default=list)
     ended = fields.List(fields.Nested(EndSchema), load_default=list)
     clockMs = fields.Int(load_default=0)
     bye = fields.Bool(load_default=False)
@@ -39,101 +42,111 @@
 
 
 class LeaveSchema(Schema):
+    """The body of a worker's departure."""
+
     boot = fields.Str(load_default="", validate=validate.Length(max=64))
 
 
-WORKER_ASKS = ("beat", "leave", "gone")
+WORKER_ACTIONS = ("beat", "leave", "gone")
 BEAT, LEAVE = BeatSchema(), LeaveSchema()
 
 
-def number(q, key, *, top):
-    v = q.get(key, str(top))
-    if not v.isdigit() or not 0 < int(v) <= top:
+def number(query, key, *, top):
+    """A query parameter from 1 to top, and top if it is absent; raises Raised(BadInput)."""
+    value = query.get(key, str(top))
+    if not value.isdigit() or not 0 < int(value) <= top:
         raise Raised(BadInput(errors=[[key, f"a number from 1 to {top} is wanted"]]))
-    return int(v)
+    return int(value)
 
 
 class RoutesMixin(OperatorsMixin, ReservationsMixin):
-    def route(self, *, call, s):
+    """Routing, parsing of bodies and HTTP answers; the handlers of jobs and workers."""
+
+    def route(self, *, call, slot):
         try:
-            self.route_to(call=call, p=[x for x in call.path.split("/") if x], s=s)
+            self.route_to(call=call, parts=[x for x in call.path.split("/") if x], slot=slot)
         except Raised as e:
-            self.finish(s=s, o=e.problem)
-        except Exception as e:  # a broken ask must not leave its asker hanging
+            self.finish(s=slot, o=e.problem)
+        except Exception as e:  # a fault must not leave the client without an answer
             self.oops(e)
-            self.finish(s=s, o=Broken(where="mast", why=type(e).__name__))
-
-    def route_to(self, *, call, p, s):
-        if p == ["healthz"]:
-            self.finish(s=s, o=Success(value={"ok": True}))
-        elif p == ["readyz"]:
-            self.finish(s=s, o=self.readiness())
-        elif p == ["metrics"]:
-            self.finish(s=s, o=Success(value=self.gauges.text(version=self.charter["version"])))
-        elif p[:1] != ["v1"] or len(p) < 2:
+            self.finish(s=slot, o=Broken(where="mast", why=type(e).__name__))
+
+    def route_to(self, *, call, parts, slot):
+        if parts == ["healthz"]:
+            self.finish(s=slot, o=Success(value={"ok": True}))
+        elif parts == ["readyz"]:
+            self.finish(s=slot, o=self.readiness())
+        elif parts == ["metrics"]:
+            self.finish(s=slot, o=Success(value=self.gauges.text(version=self.charter["version"])))
+        elif parts[:1] != ["v1"] or len(parts) < 2:
             raise Raised(Unknown(what="path", id=call.path))
-        elif p[1] == "jobs" and len(p) == 3:
-            self.one(call, s, GET=self.job_get, PUT=self.submit_job, DELETE=self.job_drop)(call, s, p[2])
-        elif p[1] == "jobs" and len(p) == 2:
-            self.one(call, s, GET=self.job_list)(call, s)
-        elif p[1] == "reservations" and len(p) == 3:
-            self.one(
+        elif parts[1] == "jobs" and len(parts) == 3:
+            self.handler_for(call, slot, GET=self.job_get, PUT=self.submit_job, DELETE=self.job_drop)(
+                call, slot, parts[2]
+            )
+        elif parts[1] == "jobs" and len(parts) == 2:
+            self.handler_for(call, slot, GET=self.job_list)(call, slot)
+        elif parts[1] == "reservations" and len(parts) == 3:
+            self.handler_for(
                 call,
-                s,
+                slot,
                 GET=self.reservation_get,
                 PUT=self.reservation_put,
                 PATCH=self.reservation_patch,
                 DELETE=self.reservation_drop,
-            )(call, s, p[2])
-        elif p[1] == "reservations" and len(p) == 2:
-            self.one(call, s, GET=self.reservation_list)(call, s)
-        elif p[1] == "workers" and len(p) == 4 and p[3] in WORKER_ASKS:
-            h = {"beat": self.beat, "leave": self.worker_leave, "gone": self.worker_gone}[p[3]]
-            self.one(call, s, POST=h)(call, s, p[2])
-        elif p[1:] == ["charter"]:
-            self.one(call, s, GET=self.charter_get, PUT=self.charter_edit, PATCH=self.charter_edit)(call, s)
-        elif p[1:] == ["members"]:
-            self.one(call, s, GET=self.members_get, POST=self.members_change)(call, s)
-        elif p[1:] == ["tenants"]:
-            self.one(call, s, GET=self.tenants_get)(call, s)
-        elif p[1:] == ["fleet"]:
-            self.one(call, s, GET=self.fleet_get)(call, s)
-        elif p[1:] == ["picture"]:
-            self.one(call, s, GET=self.picture)(call, s)
+            )(call, slot, parts[2])
+        elif parts[1] == "reservations" and len(parts) == 2:
+            self.handler_for(call, slot, GET=self.reservation_list)(call, slot)
+        elif parts[1] == "workers" and len(parts) == 4 and parts[3] in WORKER_ACTIONS:
+            handler = {"beat": self.beat, "leave": self.worker_leave, "gone": self.worker_gone}[parts[3]]
+            self.handler_for(call, slot, POST=handler)(call, slot, parts[2])
+        elif parts[1:] == ["charter"]:
+            self.handler_for(
+                call, slot, GET=self.charter_get, PUT=self.charter_edit, PATCH=self.charter_edit
+            )(call, slot)
+        elif parts[1:] == ["members"]:
+            self.handler_for(call, slot, GET=self.members_get, POST=self.members_change)(call, slot)
+        elif parts[1:] == ["tenants"]:
+            self.handler_for(call, slot, GET=self.tenants_get)(call, slot)
+        elif parts[1:] == ["fleet"]:
+            self.handler_for(call, slot, GET=self.fleet_get)(call, slot)
+        elif parts[1:] == ["picture"]:
+            self.handler_for(call, slot, GET=self.snapshot)(call, slot)
         else:
             raise Raised(Unknown(what="path", id=call.path))
 
-    def one(self, call, s, **by):
-        h = by.get(call.method)
-        if h is None:
+    def handler_for(self, call, s, **handlers):
+        handler = handlers.get(call.method)
+        if handler is None:
             raise Raised(BadMethod(method=call.method))
-        return h
+        return handler
 
     def body(self, call):
+        """The JSON object in a request's body; raises Raised with the failure to answer."""
         if len(call.body) > constants.BODY_MAX:
             raise Raised(TooLarge(limit=constants.BODY_MAX))
         if call.ctype != "application/json":
             raise Raised(BadType(got=call.ctype))
         try:
-            d = json.loads(call.body)
+            parsed = json.loads(call.body)
         except (ValueError, RecursionError) as e:
             raise Raised(BadJson(why=str(e)[:200])) from None
-        if not isinstance(d, dict):
+        if not isinstance(parsed, dict):
             raise Raised(BadJson(why="an object is wanted"))
-        return d
-
-    def reply(self, o):
-        """An outcome as HTTP: the one place that chooses a status."""
-        if o.ok:
-            v = o.value
-            st = 201 if isinstance(v, dict) and v.get("new") else 200
-            return Reply(status=st, body=v)
-        h, d = {}, to_json(o)
-        if o.status in (429, 503, 504):
-            a = getattr(o, "after", constants.RETRY_AFTER)  # spread, so that a crowd does not
-            a += self.seam.rng.randrange(a + 1)  # come back in step
-            h["Retry-After"], d["after"] = str(a), a
-        return Reply(status=o.status, body=d, headers=h)
+        return parsed
+
+    def reply(self, result):
+        """A result as an HTTP reply; statuses are chosen only here."""
+        if result.ok:
+            value = result.value
+            status = 201 if isinstance(value, dict) and value.get("new") else 200
+            return Reply(status=status, body=value)
+        headers, body = {}, to_json(result)
+        if result.status in (429, 503, 504):
+            after = getattr(result, "after", constants.RETRY_AFTER)  # spread, so that a crowd does not
+            after += self.seam.rng.randrange(after + 1)  # come back in step
+            headers["Retry-After"], body["after"] = str(after), after
+        return Reply(status=result.status, body=body, headers=headers)
 
     def readiness(self):
         up = bool(self.primary) and self.link(addr=self.primary).up
@@ -144,68 +157,71 @@
     # --- jobs
 
     def spend_check(self):
-        """What checking a job costs, for the simulation."""
+        """Charges the CPU time of validating a job, in the simulation."""
         self.seam.spend(s=constants.JOB_CHECK)
 
     def job_get(self, call, s, name):
         if self.crowded(lane="", s=s, read=True):
             return
-        self.deliver(
+        self.forward(
             op="read",
             request=self.named_job(call=call, name=name) | {"tasks": call.query.get("tasks") != "0"},
-            s=s,
-            then=lambda o: o,
+            slot=s,
+            convert=lambda result: result,
         )
 
     def job_drop(self, call, s, name):
-        self.deliver(op="cancel", request=self.named_job(call=call, name=name), s=s, then=lambda o: o)
+        self.forward(
+            op="cancel", request=self.named_job(call=call, name=name), slot=s, convert=lambda result: result
+        )
 
     def job_list(self, call, s):
-        q = call.query
-        self.deliver(
+        query = call.query
+        self.forward(
             op="list",
-            s=s,
-            then=lambda o: o,
+            slot=s,
+            convert=lambda result: result,
             request={
-                "after": q.get("after", ""),
-                "prefix": q.get("prefix", ""),
-                "lane": q.get("lane", ""),
-                "state": q.get("state", ""),
-                "most": number(q, "most", top=constants.PAGE_MAX),
+                "after": query.get("after", ""),
+                "prefix": query.get("prefix", ""),
+                "lane": query.get("lane", ""),
+                "state": query.get("state", ""),
+                "most": number(query, "most", top=constants.PAGE_MAX),
             },
         )
 
     # --- workers
 
-    def beat(self, call, s, i):
-        check_name(i)
-        d = load(BEAT, self.body(call))
-        r = d.pop("room")
-        d |= {
-            "id": i,
-            "room": [r["cores"], r["memMb"], r["gpus"]],
-            "running": [int(x) for x in d["running"]],
-            "ended": [[int(x["runId"]), x["how"], x["why"]] for x in d["ended"]],
+    def beat(self, call, s, worker_id):
+        check_name(worker_id)
+        report = load(BEAT, self.body(call))
+        room = report.pop("room")
+        report |= {
+            "id": worker_id,
+            "room": [room["cores"], room["memMb"], room["gpus"]],
+            "running": [int(x) for x in report["running"]],
+            "ended": [[int(x["runId"]), x["how"], x["why"]] for x in report["ended"]],
         }
 
-        def then(o):
-            v = o.value
+        def then(result):
+            answer = result.value
             return Success(
-                value=v | {"stops": [str(x) for x in v["stops"]], "live": [str(x) for x in v["live"]]}
+                value=answer
+                | {"stops": [str(x) for x in answer["stops"]], "live": [str(x) for x in answer["live"]]}
             )
 
-        self.deliver(op="beat", request=d, s=s, wait=constants.CALL_WAIT, then=then)
+        self.forward(op="beat", request=report, slot=s, wait=constants.CALL_WAIT, convert=then)
 
-    def worker_leave(self, call, s, i):
-        check_name(i)
-        d = load(LEAVE, self.body(call))
+    def worker_leave(self, call, s, worker_id):
+        check_name(worker_id)
+        data = load(LEAVE, self.body(call))
 
-        def then(o):
-            return o if o.value["result"] == "ok" else Unknown(what="worker", id=i)
+        def then(result):
+            return result if result.value["result"] == "ok" else Unknown(what="worker", id=worker_id)
 
-        self.deliver(op="leave", request={"id": i, "boot": d["boot"]}, s=s, then=then)
+        self.forward(op="leave", request={"id": worker_id, "boot": data["boot"]}, slot=s, convert=then)
 
-    def worker_gone(self, call, s, i):
-        check_name(i)
+    def worker_gone(self, call, s, worker_id):
+        check_name(worker_id)
         load(LEAVE, self.body(call))
-        self.deliver(op="gone", request={"id": i}, s=s, then=lambda o: o)
+        self.forward(op="gone", request={"id": worker_id}, slot=s, convert=lambda result: result)
--- a/hollowhall/mast/tenants.py
+++ b/hollowhall/mast/tenants.py
@@ -1,5 +1,5 @@
-"""A mast's requests about tenants: a job with its caller's key, and for operators the view of who may
-run what. Keys come as `Authorization: Bearer KEY`; docs/tenants.md."""
+"""The gateway's requests that concern tenants: submission of a job with the caller's key, and the
+operators' list of tenants. Keys come as `Authorization: Bearer KEY`; see docs/tenants.md."""
 
 from functools import partial
 
@@ -9,8 +9,10 @@
 
 
 class TenantsMixin:
+    """Authentication of calls and the submission of jobs."""
+
     def caller(self, call, *, lane=""):
-        """The tenant whose call it is; raises Raised(Unauthorized)."""
+        """The tenant that makes the call; raises Raised(Unauthorized)."""
         result = self.authorize(key=bearer_key(call.headers), lane=lane)
         if not result.ok:
             self.gauges.unauthorized()
@@ -18,22 +20,22 @@
         return result.value
 
     def named_job(self, *, call, name):
-        """A request that names a job only, with the tenant whose call it is; of a call without a key
-        the primary says whether the job asks for one."""
+        """A request that names only a job, with the tenant that makes the call. For a call without a key
+        the primary decides whether the job needs one."""
         key = bearer_key(call.headers)
         if not self.tenants_configured():
             return {"name": name}
         return {"name": name, "tenant": self.caller(call) if key else ""}
 
     def submit_job(self, call, s, name):
-        """A job sent in: whose it is, whether there is room for it here, what it costs."""
+        """Submits a job: authenticates the caller, sheds load, validates the job and charges its cost."""
         check_name(name)
         body = self.body(call)
         if "tenant" in body:
             raise Raised(BadInput(errors=[["tenant", "is told by the caller's key"]]))
         lane = body["lane"] if isinstance(body.get("lane"), str) else ""
         tenant = self.caller(call, lane=lane)
-        if self.crowded(lane=lane, s=s):  # looked at before the rest, for most of the work is to check it
+        if self.crowded(lane=lane, s=s):  # before validation, which is most of the work
             return
         self.spend_check()
         spec, digest = check_job(body | ({"tenant": tenant} if tenant else {}))
@@ -41,10 +43,10 @@
         if not admitted.ok:
             self.finish(s=s, o=admitted)
             return
-        told = partial(partial, self.submitted, tenant=tenant, charge=admitted.value)
-        self.slab.wrap(i=s[0], g=s[1], around=lambda k: told(callback=k))
+        on_result = partial(partial, self.submitted, tenant=tenant, charge=admitted.value)
+        self.slab.wrap(i=s[0], g=s[1], around=lambda callback: on_result(callback=callback))
         request = {"name": name, "spec": spec, "digest": digest}
-        self.deliver(op="job", request=request, s=s, then=lambda result: result)
+        self.forward(op="job", request=request, slot=s, convert=lambda result: result)
 
     def tenants_get(self, call, s):
-        self.deliver(op="tenants", request={}, s=s, then=lambda result: result)
+        self.forward(op="tenants", request={}, slot=s, convert=lambda result: result)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -63,9 +63,9 @@
         self.seam, self.gauges, self.slab, self.link = Clock(), Gauges(), Slab(cap=9), Link()
         rows = {name: {"cores": cores, "memMb": 0, "gpus": 0} for name, cores in limits.items()}
         self.charter, self.primary, self.logged = {"tenants": rows}, "p", []
-        self.buckets, self.life, self.refill_seq, self.refill_had = {}, "e1/a", 0, 0
-        self.refilled_at, self.runs_dry, self.sent = self.seam.at, asyncio.Event(), []
-        self.refilled = True
+        self.buckets, self.life, self.refill_seq, self.refill_answered = {}, "e1/a", 0, 0
+        self.refilled_at, self.refill_wanted, self.sent = self.seam.at, asyncio.Event(), []
+        self.last_refill_ok = True
 
     def tenants_configured(self):
         return self.charter.get("tenants") is not None
@@ -103,7 +103,7 @@
 def test_admission_calls_nobody():
     edge = Edge(t=4000)
     edge.take(), edge.take()
-    assert edge.link.requests == [] and edge.runs_dry.is_set()
+    assert edge.link.requests == [] and edge.refill_wanted.is_set()
 
 
 def test_a_refusal_names_the_resource_the_operation_and_the_limit():
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -29,10 +29,10 @@
     def __init__(self, loop, outcomes):
         self.loop, self.slab, self.leaving, self.primary, self.alms = loop, Slab(cap=8), False, "a", ["s"]
         self.store, self.link_ = Link([]), Link(outcomes)
-        self.tries, self.lag, self.params = 0, 0.0, self
+        self.retries, self.lag, self.params = 0, 0.0, self
         self.id, self.gauges, self.seam = "m", self, self
 
-    def flight(self, *, n, lag):
+    def set_load(self, *, n, lag):
         pass
 
     def now(self):
--- a/tests/test_tenants_http.py
+++ b/tests/test_tenants_http.py
@@ -123,10 +123,10 @@
         await caller.send("before", lane=lane_of(w), key=SECRET)
         await asyncio.sleep(1)
         mast = w.nodes["mast-1"].daemon
-        had = mast.refill_had
+        had = mast.refill_answered
         w.kill(w.who("desk", "primary")[0])
         await asyncio.sleep(4)
-        assert mast.refill_had > had and mast.buckets["t"].tokens > 0
+        assert mast.refill_answered > had and mast.buckets["t"].tokens > 0
         assert await caller.send("after", lane=lane_of(w), key=SECRET) == 201
 
     play(steps)
