--- a/hollowhall/mast/door.py
+++ b/hollowhall/mast/door.py
@@ -19,7 +19,7 @@
         self.cut, self.cut_at, self.came = 0.0, self.seam.now(), {}
         self.shed_since_log, self.shed_logged_at = 0, -constants.SHED_SAY
 
-    def load_ratio(self):
+    def full(self):
         """The load relative to its limit: 1.0 is full."""
         return max(self.slab.n / self.params.shed_at, self.lag / constants.LAG_FULL)
 
@@ -30,10 +30,8 @@
         self.decay_counts()
         if not read:
             self.came[urgency] = self.came.get(urgency, 0.0) + 1.0
-        load_ratio = self.load_ratio()
-        if load_ratio > constants.DOOR_SHUT or (
-            load_ratio > 1.0 if read else self.in_refused_fraction(urgency)
-        ):
+        full = self.full()
+        if full > constants.DOOR_SHUT or (full > 1.0 if read else self.in_refused_fraction(urgency)):
             self.gauges.shed(lane)
             self.shed_since_log += 1
             if self.seam.now() - self.shed_logged_at > constants.SHED_SAY:
@@ -81,5 +79,5 @@
         )
         self.came = {urgency: count * factor for urgency, count in self.came.items() if count * factor > 0.01}
         elapsed, self.cut_at = min(1.0, now - self.cut_at), now
-        step = constants.CUT_UP if self.load_ratio() > constants.DOOR_FULL else -constants.CUT_DOWN
+        step = constants.CUT_UP if self.full() > constants.DOOR_FULL else -constants.CUT_DOWN
         self.cut = max(0.0, min(constants.CUT_MOST, self.cut + step * elapsed))
--- a/tests/test_platform_program.py
+++ b/tests/test_platform_program.py
@@ -1,5 +1,5 @@
-"""The platform's program of each role, started as from the root: which module `platform` is, and
-settings that change, with a signal or without one, or that are bad after a change."""
+"""The platform's program of each role, started from the root: which module `platform` is, and settings that
+change, with or without a signal, or are invalid after a change."""
 
 import asyncio
 import os
@@ -7,7 +7,7 @@
 import subprocess
 import sys
 
-import boot  # found by way of the adapter's tests
+import boot  # test_platform_translation adds its folder to the path
 import pytest
 import serve
 from test_platform_translation import ROOT, SETTINGS, write
@@ -17,7 +17,7 @@
 MADE = """
 import sys
 sys.path[0] = "platform"
-import serve, boot, platform, aiohttp     # serve first: it makes the root known
+import serve, boot, platform, aiohttp     # serve first: it adds the root to the path
 from hollowhall.base.seam import Seam
 d = boot.read_settings(path=sys.argv[1])
 x, doors = serve.make(role=sys.argv[2], d=d, seam=Seam(folder=sys.argv[3]))
@@ -28,37 +28,42 @@
 
 @pytest.mark.parametrize("role, doors", [("hall", 1), ("mast", 2)])
 def test_each_role_is_made_with_the_languages_own_platform(tmp_path, role, doors):
-    f = write(tmp_path, SETTINGS | {"listenAddrs": ADDRS})
-    x = subprocess.run(
-        [sys.executable, "-c", MADE, f, role, str(tmp_path / "d")],
+    settings_file = write(tmp_path, SETTINGS | {"listenAddrs": ADDRS})
+    program = subprocess.run(
+        [sys.executable, "-c", MADE, settings_file, role, str(tmp_path / "d")],
         cwd=ROOT,
         capture_output=True,
         text=True,
         timeout=60,
     )
-    assert x.stdout.split() == [sys.version.split()[0], role, str(doors)], x.stderr
+    assert program.stdout.split() == [sys.version.split()[0], role, str(doors)], program.stderr
 
 
 def test_settings_that_change_are_taken_and_bad_ones_leave_the_old(tmp_path):
-    d = SETTINGS | {"listenAddrs": ADDRS}
-    f = write(tmp_path, d)
+    settings = SETTINGS | {"listenAddrs": ADDRS}
+    settings_file = write(tmp_path, settings)
 
     async def go():
-        p = serve.Program(role="mast", path=f, d=boot.read_settings(path=f), seam=Seam())
-        taken, said = [], []
-        p.x.take_params = taken.append
-        p.x.say = lambda e, **kw: said.append((e.no, kw))
-        was = p.stamp()
-        write(tmp_path, d | {"zone": "another"})
-        os.utime(f, (1, 1))
-        assert p.stamp() != was  # seen without a signal
-        p.again()
-        assert taken[0].zone == "another" and p.d["zone"] == "another"
-        pathlib.Path(f).write_text("zone = [")
-        p.again()
-        assert len(taken) == 1 and said[0][0] == 103 and p.d["zone"] == "another"
-        os.remove(f)
-        p.again()
-        assert len(taken) == 1 and p.stamp() is None
+        program = serve.Program(
+            role="mast",
+            path=settings_file,
+            platform_settings=boot.read_settings(path=settings_file),
+            seam=Seam(),
+        )
+        applied, logged = [], []
+        program.daemon.take_params = applied.append
+        program.daemon.say = lambda event, **kw: logged.append((event.no, kw))
+        before = program.settings_stamp()
+        write(tmp_path, settings | {"zone": "another"})
+        os.utime(settings_file, (1, 1))
+        assert program.settings_stamp() != before  # noticed without a signal
+        program.reload_settings()
+        assert applied[0].zone == "another" and program.platform_settings["zone"] == "another"
+        pathlib.Path(settings_file).write_text("zone = [")
+        program.reload_settings()
+        assert len(applied) == 1 and logged[0][0] == 103 and program.platform_settings["zone"] == "another"
+        os.remove(settings_file)
+        program.reload_settings()
+        assert len(applied) == 1 and program.settings_stamp() is None
 
     asyncio.run(go())
--- a/tests/test_platform_tenants.py
+++ b/tests/test_platform_tenants.py
@@ -1,6 +1,7 @@
-"""Tenants behind the platform's adapter: no rule breaks, their limits and keys among them, however limits,
-keys, loads and losses overlap. Guards against QUOTA, ROUTE and CONFIG (issue 31). `PYTHONPATH=tests:platform python
-tests/test_platform_tenants.py FIRST-LAST [fault ...]` plays more seeds."""
+"""Tenants behind the platform's adapter: no rule is broken, those for limits and keys included, however
+changes of limits and keys, loads and losses overlap. Guards against violations of the rules QUOTA, ROUTE and
+CONFIG (issue 31). `PYTHONPATH=tests:platform python tests/test_platform_tenants.py FIRST-LAST [fault ...]` plays
+more seeds."""
 
 import sys
 
@@ -16,49 +17,53 @@
 
 @pytest.mark.parametrize("faults", TENANT_FAULTS, ids=[f.__name__ for f in TENANT_FAULTS])
 def test_limits_and_keys_hold_whatever_happens(faults):
-    w, bad, states = play(seed=31 + TENANT_FAULTS.index(faults), faults=faults)
-    assert bad == [] and w.loop.complaints == []
+    world, found, states = play(seed=31 + TENANT_FAULTS.index(faults), faults=faults)
+    assert found == [] and world.loop.complaints == []
     ended = sum(x in ("complete", "failed", "cancelled") for x in states.values())
     assert len(states) > 15 and ended >= 0.8 * len(states)
 
 
 def test_no_log_line_of_a_day_has_a_key():
-    w, _, _ = play(seed=7, faults=TENANT_FAULTS[2], seconds=8.0)
-    assert not [x for x in w.log if "k-one" in x or "k-two" in x or "k-nobody" in x]
+    world, _, _ = play(seed=7, faults=TENANT_FAULTS[2], seconds=8.0)
+    assert not [x for x in world.log if "k-one" in x or "k-two" in x or "k-nobody" in x]
 
 
-# --- with one thing broken, the checker sees it through the whole path
+# --- with one thing broken, the checker reports it
 
 
-def no_limits(m):
-    """Neither at the grant nor, for what was granted too much, before it begins."""
-    m.setattr(TenantsMixin, "tenant_refusal", lambda self, *, job, room, count=1: "")
-    m.setattr(TenantsMixin, "over_limit", lambda self, g: False)
+def no_limits(monkeypatch):
+    """Limits are checked neither at the grant nor, for attempts granted above them, before the start."""
+    monkeypatch.setattr(TenantsMixin, "tenant_refusal", lambda self, *, job, room, count=1: "")
+    monkeypatch.setattr(TenantsMixin, "over_limit", lambda self, g: False)
 
 
-def limits_forgotten_in_snapshots(m):
-    m.setattr(TenantsMixin, "tenant_use", lambda self, tenant: (0, 0, 0))
+def limits_forgotten_in_snapshots(monkeypatch):
+    monkeypatch.setattr(TenantsMixin, "tenant_use", lambda self, tenant: (0, 0, 0))
 
 
-def any_key(m):
-    m.setattr(front.Front, "at", lambda self, call, k, lane, name: at(self, call, k, lane, name))
-    at = front.Front.at
+def any_key(monkeypatch):
+    monkeypatch.setattr(
+        front.Front,
+        "handle_queue_call",
+        lambda self, call, callback, lane, name: handle(self, call, callback, lane, name),
+    )
+    handle = front.Front.handle_queue_call
 
     def authorize(self, *, key, lane=""):
         return Success(value=ONE)
 
-    m.setattr("hollowhall.mast.keys.KeysMixin.authorize", authorize)
+    monkeypatch.setattr("hollowhall.mast.keys.KeysMixin.authorize", authorize)
 
 
-def whole_table_by_name(m):
-    """A change by name of tenants replaces their table, as it did before."""
+def whole_table_by_name(monkeypatch):
+    """A change of tenants by name replaces the whole table, as in an earlier version."""
     merged = control.merged
 
-    def replaced(c, d):
-        out = merged(c, d)
-        return out | {"tenantTable": d["upsert"]["tenantTable"]} if d.get("upsert") else out
+    def replaced(config, change):
+        out = merged(config, change)
+        return out | {"tenantTable": change["upsert"]["tenantTable"]} if change.get("upsert") else out
 
-    m.setattr(control, "merged", replaced)
+    monkeypatch.setattr(control, "merged", replaced)
 
 
 @pytest.mark.parametrize(
@@ -75,7 +80,7 @@
     try:
         _, bad, _ = play(seed=5, faults=faults)
         found = {b.rule for b in bad}
-    except (AssertionError, StopIteration, RuntimeError):  # an order that was not as it must be
+    except (AssertionError, StopIteration, RuntimeError):  # an operator's change failed
         found = {"broke"}
     assert found & rules
 
@@ -85,8 +90,11 @@
 
 
 def main(span, *names):
-    a, b = map(int, span.split("-"))
-    sweep(violations, [(f, n) for f in names or [f.__name__ for f in TENANT_FAULTS] for n in range(a, b + 1)])
+    first, last = map(int, span.split("-"))
+    sweep(
+        violations,
+        [(f, n) for f in names or [f.__name__ for f in TENANT_FAULTS] for n in range(first, last + 1)],
+    )
 
 
 if __name__ == "__main__":
--- a/tests/test_platform_translation.py
+++ b/tests/test_platform_translation.py
@@ -1,6 +1,6 @@
-"""The adapter's translation, without any fleet: settings to params, bodies to requests,
-outcomes to statuses, and what becomes of bad input. Also that nothing outside the folder
-knows the platform's names, and that the folder hides no module of the language."""
+"""The adapter's translation, without any fleet: settings, bodies to requests, results to statuses, and the
+answers to bad input. Also that nothing outside the folder uses the platform's names, and that the folder
+`platform` hides no module of the standard library."""
 
 import json
 import os
@@ -55,23 +55,34 @@
 }
 
 
-def write(tmp_path, d):
-    lines = [f"{a} = {json.dumps(b)}" for a, b in d.items() if not isinstance(b, dict)]
-    for a, b in d.items():
-        if isinstance(b, dict):
-            lines += [f"[{a}]"] + [f"{x} = {json.dumps(y)}" for x, y in b.items()]
-    p = tmp_path / "boot.toml"
-    p.write_text("\n".join(lines))
-    return str(p)
+def write(tmp_path, settings):
+    lines = [
+        f"{name} = {json.dumps(value)}" for name, value in settings.items() if not isinstance(value, dict)
+    ]
+    for name, value in settings.items():
+        if isinstance(value, dict):
+            lines += [f"[{name}]"] + [f"{x} = {json.dumps(y)}" for x, y in value.items()]
+    path = tmp_path / "boot.toml"
+    path.write_text("\n".join(lines))
+    return str(path)
 
 
 def test_settings_become_params(tmp_path):
-    p = boot.params_of(boot.read_settings(path=write(tmp_path, SETTINGS)), role="hall")
-    assert (p.addr, p.seeds, p.found) == ("10.0.0.1:7380", ["10.0.0.1:7380", "10.0.0.2:7380"], True)
-    assert p.hold_ms == 3000 and p.margin_ms >= 60 and p.far_times == 3 and p.auto_members
+    settings = boot.params_of(boot.read_settings(path=write(tmp_path, SETTINGS)), role="hall")
+    assert (settings.addr, settings.seeds, settings.found) == (
+        "10.0.0.1:7380",
+        ["10.0.0.1:7380", "10.0.0.2:7380"],
+        True,
+    )
+    assert (
+        settings.hold_ms == 3000
+        and settings.margin_ms >= 60
+        and settings.far_times == 3
+        and settings.auto_members
+    )
     later = SETTINGS | {"bootstrap": False, "ip": "10.0.0.9"}
-    p = boot.params_of(boot.read_settings(path=write(tmp_path, later)), role="hall")
-    assert not p.found and not p.join
+    settings = boot.params_of(boot.read_settings(path=write(tmp_path, later)), role="hall")
+    assert not settings.found and not settings.join
 
 
 @pytest.mark.parametrize(
@@ -86,35 +97,35 @@
     ],
 )
 def test_bad_settings_name_their_field(tmp_path, change, where):
-    d = {a: b for a, b in (SETTINGS | change).items() if b is not None}
-    with pytest.raises(P.Raised) as e:
-        boot.read_settings(path=write(tmp_path, d))
-    assert isinstance(e.value.problem, P.BadParams)
-    assert any(a.startswith(where) for a, _ in e.value.problem.errors)
+    settings = {field: value for field, value in (SETTINGS | change).items() if value is not None}
+    with pytest.raises(P.Raised) as raised:
+        boot.read_settings(path=write(tmp_path, settings))
+    assert isinstance(raised.value.problem, P.BadParams)
+    assert any(field.startswith(where) for field, _ in raised.value.problem.errors)
 
 
 @pytest.mark.parametrize("role", ["hall", "mast"])
 @pytest.mark.parametrize("text, code", [("not toml at all [", 2), ("", 2)])
 def test_a_program_started_from_the_root_refuses_bad_settings(tmp_path, role, text, code):
-    f = tmp_path / "boot.toml"
-    f.write_text(text)
-    x = subprocess.run(
+    settings_file = tmp_path / "boot.toml"
+    settings_file.write_text(text)
+    program = subprocess.run(
         [sys.executable, "platform/serve.py", role],
         cwd=ROOT,
         text=True,
         capture_output=True,
-        env=os.environ | {boot.ENV: str(f)},
+        env=os.environ | {boot.SETTINGS_ENV: str(settings_file)},
         timeout=60,
     )
-    assert x.returncode == code and "BadParams" in x.stderr
+    assert program.returncode == code and "BadParams" in program.stderr
 
 
 @pytest.mark.parametrize("path", [["."], ["platform"], ["platform", "."]])
 def test_the_folder_hides_no_module_of_the_language(path):
     assert not (ROOT / "platform/__init__.py").exists()
     code = f"import sys; sys.path[:0] = {path!r}; import aiohttp, platform; print(platform.python_version())"
-    x = subprocess.run([sys.executable, "-c", code], cwd=ROOT, text=True, capture_output=True)
-    assert x.stdout.strip() == sys.version.split()[0], x.stderr
+    program = subprocess.run([sys.executable, "-c", code], cwd=ROOT, text=True, capture_output=True)
+    assert program.stdout.strip() == sys.version.split()[0], program.stderr
 
 
 NAMES = (
@@ -144,7 +155,10 @@
 
 
 def known_names(texts):
-    return sorted((f, n) for f, t in texts.items() for n in NAMES if re.search(rf"\b{n}\b", t))
+    """(file, name) of each of the platform's names in the texts."""
+    return sorted(
+        (path, name) for path, text in texts.items() for name in NAMES if re.search(rf"\b{name}\b", text)
+    )
 
 
 def test_nothing_outside_the_folder_knows_the_platforms_names():
@@ -153,25 +167,25 @@
 
 
 class Mast(KeysMixin):
-    """Answers every request with one outcome, and keeps what it was asked."""
+    """A gateway that answers every request with one result and records the requests."""
 
-    def __init__(self, o):
+    def __init__(self, result):
         self.charter = {"version": 2, "chosen": 3, **vars(tables.read_config(CONFIG))}
-        self.o, self.sent = o, []
+        self.result, self.sent = result, []
 
     def submit(self, *, request, tenant, callback, wait):
         return self.request(op="job", request=request, callback=callback, wait=wait)
 
     def request(self, *, op, request, callback, wait):
         self.sent.append((op, request, wait))
-        callback(self.o)
+        callback(self.result)
         return lambda: None
 
 
 def call(mast, method, path, body=None, **headers):
-    out = []
+    replies = []
     front.Front(mast=mast).take(
-        callback=out.append,
+        callback=replies.append,
         call=Call(
             method=method,
             path=path,
@@ -179,7 +193,7 @@
             body=body if isinstance(body, bytes) else json.dumps(body).encode(),
         ),
     )
-    return out[0]
+    return replies[0]
 
 
 JOB = {"jobProfile": "p", "stages": [{"taskCount": 1}]}
@@ -198,8 +212,8 @@
     ],
 )
 def test_only_what_surely_was_not_taken_is_refused(o, status):
-    r = call(Mast(o), "POST", ID, JOB)
-    assert r.status == status and (status == 200 or "Retry-After" in r.headers)
+    reply = call(Mast(o), "POST", ID, JOB)
+    assert reply.status == status and (status == 200 or "Retry-After" in reply.headers)
 
 
 @pytest.mark.parametrize(
@@ -218,17 +232,17 @@
 def test_what_is_not_there():
     assert call(Mast(P.Unknown(what="job", id="x")), "GET", ID).status == 410
     assert call(Mast(P.Unknown(what="job", id="x")), "DELETE", ID).status == 410
-    assert call(Mast(P.NotPrimary()), "GET", ID).status == 503  # never a 410 for want of one
+    assert call(Mast(P.NotPrimary()), "GET", ID).status == 503  # a missing primary is never answered with 410
     assert call(Mast(P.Success(value={"waiting": 4})), "GET", "/q/").body == {"pending": 4}
     assert call(Mast(P.Success(value={})), "GET", "/other/").status == 404
-    m = Mast(P.Success(value={}))
-    m.charter = {"version": 1, "rows": {}}
-    r = call(m, "POST", ID, JOB)
-    assert r.status == 503 and r.headers["Retry-After"] and not m.sent
+    mast = Mast(P.Success(value={}))
+    mast.charter = {"version": 1, "rows": {}}
+    reply = call(mast, "POST", ID, JOB)
+    assert reply.status == 503 and reply.headers["Retry-After"] and not mast.sent
 
 
 def test_the_clients_patience_is_kept():
-    m = Mast(P.Success(value={"state": "done", "began": True}))
-    call(m, "GET", ID, **{"time-remaining": "2000"})
-    call(m, "GET", ID, **{"time-remaining": "nonsense"})
-    assert m.sent[0][2] == pytest.approx(1.6) and m.sent[1][2] == front.WAIT_S
+    mast = Mast(P.Success(value={"state": "done", "began": True}))
+    call(mast, "GET", ID, **{"time-remaining": "2000"})
+    call(mast, "GET", ID, **{"time-remaining": "nonsense"})
+    assert mast.sent[0][2] == pytest.approx(1.6) and mast.sent[1][2] == front.DEFAULT_WAIT_S
--- a/tests/test_platform_translation_config.py
+++ b/tests/test_platform_translation_config.py
@@ -1,4 +1,4 @@
-"""The adapter's translation of configurations: every fault named, given back as written, changes by name."""
+"""The adapter's translation of configurations: every fault reported, read back as written, changes by name."""
 
 import json
 
@@ -9,10 +9,10 @@
 from hollowhall.base import problems as P
 
 
-def faults(d):
-    with pytest.raises(P.Raised) as e:
-        tables.read_config(d)
-    return {a for a, _ in e.value.problem.errors}
+def faults(config):
+    with pytest.raises(P.Raised) as raised:
+        tables.read_config(config)
+    return {field for field, _ in raised.value.problem.errors}
 
 
 def test_an_invalid_configuration_names_every_fault():
@@ -33,11 +33,11 @@
     assert faults(CONFIG | {"routeTable": "x"}) == {"routeTable"}
     for text in (b'{"revision": 1, "revision": 2}', b'{"a"', b"3"):
         with pytest.raises(P.Raised):
-            tables.parse(text)
+            tables.parse_object(text)
 
 
-def charter(d):
-    return {"chosen": d["revision"], **vars(tables.read_config(d))}
+def charter(config):
+    return {"chosen": config["revision"], **vars(tables.read_config(config))}
 
 
 def test_a_configuration_is_given_back_as_it_was_written():
@@ -48,7 +48,7 @@
 def test_changes_by_name():
     other = ROUTE | {"name": "r-2", "pathPrefix": "/z/"}
     new = ROUTE | {"timeoutMs": 9}
-    d = tables.merged(
+    config = tables.merged(
         charter(CONFIG | {"routeTable": [ROUTE, other]}),
         {
             "revision": 8,
@@ -56,17 +56,17 @@
             "withdraw": {"routeTable": ["r-2", "nobody"]},
         },
     )
-    assert d["revision"] == 8 and [x["name"] for x in d["routeTable"]] == ["r-1", "r-3"]
-    assert d["routeTable"][0] == new and d["serviceTable"] == CONFIG["serviceTable"]
+    assert config["revision"] == 8 and [row["name"] for row in config["routeTable"]] == ["r-1", "r-3"]
+    assert config["routeTable"][0] == new and config["serviceTable"] == CONFIG["serviceTable"]
     with pytest.raises(P.Raised):
         tables.merged(charter(CONFIG), {"revision": 8, "upsert": {"routeTable": [3]}})
 
 
 @pytest.mark.parametrize("word", ["NaN", "Infinity", "-Infinity", "1e999"])
 def test_a_word_that_is_no_json_is_refused(word):
-    # CONFIG, review: it was acknowledged, and GET /config then answered what is no JSON
+    # Rule CONFIG: such a configuration was acknowledged, and GET /config then answered invalid JSON.
     body = json.dumps(CONFIG).replace('"guards": true', f'"guards": true, "warmupS": {word}')
     assert word in body
-    with pytest.raises(P.Raised) as e:
-        tables.parse(body)
-    assert isinstance(e.value.problem, P.BadInput)
+    with pytest.raises(P.Raised) as raised:
+        tables.parse_object(body)
+    assert isinstance(raised.value.problem, P.BadInput)
--- a/tests/test_platform_translation_jobs.py
+++ b/tests/test_platform_translation_jobs.py
@@ -1,4 +1,4 @@
-"""The adapter's translation of a client's job, and what becomes of bad ones."""
+"""The adapter's translation of a client's job, and its answers to bad ones."""
 
 import front
 import pytest
@@ -29,15 +29,17 @@
         ],
     }
     row = {"kind": "svc", "maxFailures": 4}
-    d, _ = check_job(front.job_of(body=body, lane="r-1", row=row))
-    s = {x["name"]: x for x in d["steps"]}
-    assert sorted(s) == ["0.0", "0.1", "1.0", "1.1"] and s["1.1"]["after"] == ["1.0"]
-    assert (s["1.0"]["notBefore"], s["1.0"]["near"], s["1.0"]["saves"]) == (5100, "r1", True)
-    assert s["0.1"]["gang"] and s["0.1"]["tight"] and s["0.1"]["label"] == "a"
-    assert s["0.1"]["perWorker"] == 2 and s["0.1"]["maxFailures"] == 4 and d["work"] == {"text": "p"}
+    job, _ = check_job(front.job_of(body=body, lane="r-1", row=row))
+    steps = {step["name"]: step for step in job["steps"]}
+    assert sorted(steps) == ["0.0", "0.1", "1.0", "1.1"] and steps["1.1"]["after"] == ["1.0"]
+    assert (steps["1.0"]["notBefore"], steps["1.0"]["near"], steps["1.0"]["saves"]) == (5100, "r1", True)
+    assert steps["0.1"]["gang"] and steps["0.1"]["tight"] and steps["0.1"]["label"] == "a"
+    assert (
+        steps["0.1"]["perWorker"] == 2 and steps["0.1"]["maxFailures"] == 4 and job["work"] == {"text": "p"}
+    )
     body = {"jobProfile": "p", "longRunning": True, "stages": [{"taskCount": 1}]}
-    d, _ = check_job(front.job_of(body=body, lane="r-1", row=row))
-    assert d["standing"] and d["steps"][0]["forever"]
+    job, _ = check_job(front.job_of(body=body, lane="r-1", row=row))
+    assert job["standing"] and job["steps"][0]["forever"]
 
 
 @pytest.mark.parametrize(
@@ -53,7 +55,7 @@
     ],
 )
 def test_a_bad_job_is_refused_and_goes_nowhere(body, status):
-    m = Mast(P.Success(value={}))
-    r = call(m, "POST", ID, body)
-    assert r.status == status and not m.sent
-    assert status == 413 or r.body["fields"]
+    mast = Mast(P.Success(value={}))
+    reply = call(mast, "POST", ID, body)
+    assert reply.status == status and not mast.sent
+    assert status == 413 or reply.body["fields"]
