--- a/tests/test_platform_translation.py
+++ b/tests/test_platform_translation.py
@@ -56,6 +56,7 @@
 
 
 def write(tmp_path, settings):
+    """Writes a settings file; returns its path."""
     lines = [
         f"{name} = {json.dumps(value)}" for name, value in settings.items() if not isinstance(value, dict)
     ]
@@ -183,6 +184,7 @@
 
 
 def call(mast, method, path, body=None, **headers):
+    """The adapter's reply to a client's request."""
     replies = []
     front.Front(mast=mast).take(
         callback=replies.append,
@@ -201,7 +203,7 @@
 
 
 @pytest.mark.parametrize(
-    "o, status",
+    "result, status",
     [
         (P.Success(value={}), 200),
         (P.NotPrimary(), 503),
@@ -211,13 +213,13 @@
         (P.NotSynced(), 503),
     ],
 )
-def test_only_what_surely_was_not_taken_is_refused(o, status):
-    reply = call(Mast(o), "POST", ID, JOB)
+def test_only_what_surely_was_not_taken_is_refused(result, status):
+    reply = call(Mast(result), "POST", ID, JOB)
     assert reply.status == status and (status == 200 or "Retry-After" in reply.headers)
 
 
 @pytest.mark.parametrize(
-    "v, state",
+    "answer, state",
     [
         ({"state": "open", "began": False}, "queued"),
         ({"state": "open", "began": True}, "active"),
@@ -225,8 +227,8 @@
         ({"state": "cancelled", "began": False}, "cancelled"),
     ],
 )
-def test_states(v, state):
-    assert call(Mast(P.Success(value=v)), "GET", ID).body == {"state": state}
+def test_states(answer, state):
+    assert call(Mast(P.Success(value=answer)), "GET", ID).body == {"state": state}
 
 
 def test_what_is_not_there():
