--- a/hollowhall/sim/__init__.py
+++ b/hollowhall/sim/__init__.py
@@ -1,1 +1,2 @@
-"""A whole fleet simulated from a seed, in virtual time: loop, net, disks, faults, storms."""
+"""Deterministic simulation of a whole fleet from a seed, in virtual time: event loop, network,
+disks, faults and fault campaigns (storms)."""
--- a/hollowhall/sim/disk.py
+++ b/hollowhall/sim/disk.py
@@ -1,12 +1,13 @@
-"""Simulated disks. What was synced stays; what was written and not synced survives
-a killed process but not a power cut, where it is lost, whole or torn. A disk may
-stall, fill up, or be lost."""
+"""Simulated disks. Synced data stays. Data written and not synced survives a killed process;
+a power cut loses it, keeps it or tears it. A disk may stall, fill up or be lost."""
 
 import asyncio
 import errno
 
 
 class SimFile:
+    """A file of fixed size: `safe` is what is synced, `pending` the write under way."""
+
     def __init__(self, *, disk, size):
         self.disk, self.size, self.safe, self.pending = disk, size, bytearray(size), None
 
@@ -15,17 +16,18 @@
         return bytes(self.safe)
 
     def settle(self):
-        """The process went, the machine did not: its page cache is still there."""
+        """Completes the pending write, as the page cache does when only the process has ended."""
         if self.pending is not None:
-            off, b = self.pending
-            self.safe[off : off + len(b)] = b
+            offset, data = self.pending
+            self.safe[offset : offset + len(data)] = data
             self.pending = None
 
     def power_cut(self, rng):
+        """Keeps none, all or a random prefix of the pending write."""
         if self.pending is not None:
-            off, b = self.pending
-            n = rng.choice((0, len(b), rng.randrange(len(b) + 1)))
-            self.safe[off : off + n] = b[:n]
+            offset, data = self.pending
+            length = rng.choice((0, len(data), rng.randrange(len(data) + 1)))
+            self.safe[offset : offset + length] = data[:length]
             self.pending = None
 
     async def put(self, *, off, data):
@@ -39,12 +41,15 @@
 
 
 class SimDisk:
+    """The disk of one machine: files written in place, and files replaced whole (`wholes`)."""
+
     def __init__(self, *, rng):
         self.rng, self.files, self.wholes = rng, {}, {}
         self.full, self.stalled, self.slow, self.syncs = False, None, 0.0, 0
         self.half = None
 
     async def wait(self):
+        """Takes the time of one sync. Raises OSError when the disk is full."""
         if self.full:
             raise OSError(errno.ENOSPC, "No space left on device")
         self.syncs += 1
@@ -64,17 +69,18 @@
         return self.wholes.get(name)
 
     async def whole(self, *, name, data):
+        """Replaces a file atomically: a power cut leaves the old content or the new."""
         self.half = (name, bytes(data))
         await self.wait()
         self.wholes[name], self.half = bytes(data), None
 
     def power_cut(self):
-        for f in self.files.values():
-            f.power_cut(self.rng)
+        for file in self.files.values():
+            file.power_cut(self.rng)
         if self.half is not None and self.rng.random() < 0.5:
             self.wholes[self.half[0]] = self.half[1]
         self.half = None
 
     def lose(self):
-        """A blank disk in its place. Files of an ended process write to nowhere."""
+        """Replaces the disk by an empty one. Files that an ended process holds open are detached."""
         self.files, self.wholes, self.half = {}, {}, None
--- a/hollowhall/sim/faults.py
+++ b/hollowhall/sim/faults.py
@@ -1,6 +1,6 @@
-"""Faults, from a seed. `schedule` draws a list of (second, fault, number) before the
-run begins, so a failing run can be shrunk by leaving faults out. Every fault heals
-itself; the last second of healing is the last fault of the run."""
+"""Injects faults drawn from a seed. `schedule` draws all faults before the run begins, so a
+failing run can be shrunk by leaving faults out. Every fault undoes itself: the run of faults
+has ended when the last one is undone."""
 
 import asyncio
 import random
@@ -24,187 +24,218 @@
 burst fat timed racked urgent large impossible edit_storm edit_race big_table cancels squeeze shots
 stale_reads
 """.split()
-LARGE = ["huge", "wide_table"]  # minutes of a processor a run, so not among ALL
+LARGE = ["huge", "wide_table"]  # each takes minutes of CPU time, so they are not in ALL
 ALL = CORE + NET + WORK + CROWD
 
 
 def schedule(*, seed, kinds=ALL, n=10, start=4.0, end=34.0):
-    r = random.Random(seed * 7919 + 13)
-    out = [(round(r.uniform(start, end), 3), r.choice(kinds), r.getrandbits(30)) for _ in range(n)]
-    return sorted(out)
+    """Draws `n` faults: a sorted list of (second, name of the fault, seed of the fault)."""
+    rng = random.Random(seed * 7919 + 13)
+    plan = [(round(rng.uniform(start, end), 3), rng.choice(kinds), rng.getrandbits(30)) for _ in range(n)]
+    return sorted(plan)
 
 
 class Faults(SharpFaults, NetFaults):
-    """Carries faults out on a world. Each method is one fault, from cause to cure."""
+    """Faults of daemons, machines and disks of a World. Each method named in the lists above
+    is one fault: it injects the fault, waits, and undoes it."""
 
     def __init__(self, *, world, requester, operators, calm):
-        self.w, self.req, self.ops, self.extra = world, requester, operators, []
+        self.world, self.requester, self.operators, self.request_tasks = world, requester, operators, []
         self.calm = calm
 
     async def run(self, plan):
-        ts = [asyncio.ensure_future(self.one(*x)) for x in plan]
-        await asyncio.gather(*ts)
-        self.w.hist.note("fault", what="the last one is healed")
-        await asyncio.gather(*self.extra)
-
-    async def one(self, t, what, num):
-        await asyncio.sleep(max(0.0, t - self.w.loop.vt))
-        self.w.hist.note("fault", what=what)
-        self.w.log.append(f"{self.w.loop.vt:.6f} fault {what} {num}")
-        await getattr(self, what)(random.Random(num))
-
-    def pick(self, r, names, default):
-        return r.choice(sorted(names)) if names else default
+        """Injects the faults of the plan, and waits until all are undone and the jobs that they sent
+        have ended or timed out."""
+        tasks = [asyncio.ensure_future(self.inject(*fault)) for fault in plan]
+        await asyncio.gather(*tasks)
+        self.world.hist.note("fault", what="the last one is healed")
+        await asyncio.gather(*self.request_tasks)
+
+    async def inject(self, time, what, fault_seed):
+        await asyncio.sleep(max(0.0, time - self.world.loop.vt))
+        self.world.hist.note("fault", what=what)
+        self.world.log.append(f"{self.world.loop.vt:.6f} fault {what} {fault_seed}")
+        await getattr(self, what)(random.Random(fault_seed))
+
+    def pick(self, rng, names, default):
+        return rng.choice(sorted(names)) if names else default
 
     # --- daemons
 
-    async def down_up(self, name, secs):
-        self.w.kill(name)
-        await asyncio.sleep(secs)
-        if name not in self.w.nodes and self.w.cards[name]["machine"] not in ("scrap", *self.w.net.dark):
-            self.w.start(name)
-
-    async def kill_primary(self, r):
-        await self.down_up(self.pick(r, self.w.who("desk", "primary"), "desk-1"), r.uniform(0.1, 6))
-
-    async def kill_leader(self, r):
-        await self.down_up(self.pick(r, self.w.who("almanac", "leader"), "almanac-1"), r.uniform(0.1, 6))
-
-    async def kill_any(self, r):
-        await self.down_up(self.pick(r, self.w.cards, ""), r.uniform(0.1, 6))
-
-    async def pause(self, name, secs, first=False):
-        self.w.pause(name)
-        await asyncio.sleep(secs)
-        self.w.pause(name, on=False, sockets_first=first)
-
-    def primary(self, r):
-        return self.pick(r, self.w.who("desk", "primary"), "desk-1")
-
-    async def pause_mast(self, r):
-        n = self.pick(r, [n for n in self.w.nodes if n.startswith("mast")], "mast-1")
-        await self.pause(n, r.uniform(1, 7), first=True)
-
-    async def pause_primary(self, r):
-        await self.pause(self.primary(r), r.uniform(0.5, 8), first=r.random() < 0.5)
-
-    async def pause_leader(self, r):
-        await self.pause(self.pick(r, self.w.who("almanac", "leader"), "almanac-1"), r.uniform(0.3, 8))
-
-    async def pause_clock(self, r):
-        n = [n for n, x in self.w.nodes.items() if getattr(x.daemon, "clk", None)]
-        await self.pause(self.pick(r, n, "almanac-1"), r.uniform(0.5, 8))
-
-    async def pause_any(self, r):
-        await self.pause(self.pick(r, self.w.nodes, "mast-1"), r.uniform(0.2, 8))
-
-    async def leave_daemon(self, r):
-        n = self.pick(r, self.w.nodes, "")
-        if n and self.w.nodes[n].awake:
-            self.w.leave(n)
-            await asyncio.sleep(r.uniform(2.5, 5))
-            if n in self.w.nodes:
-                self.w.kill(n)
-            if self.w.cards[n]["machine"] not in ("scrap", *self.w.net.dark):
-                self.w.start(n)
-
-    async def power(self, r, core=None, lose=False):
-        m = core or f"core-{r.randint(1, 3)}"
-        if m in self.w.net.dark or m not in self.w.disks:
+    async def kill_and_restart(self, name, seconds):
+        self.world.kill(name)
+        await asyncio.sleep(seconds)
+        if name not in self.world.nodes and self.world.cards[name]["machine"] not in (
+            "scrap",
+            *self.world.net.dark,
+        ):
+            self.world.start(name)
+
+    async def kill_primary(self, rng):
+        await self.kill_and_restart(
+            self.pick(rng, self.world.who("desk", "primary"), "desk-1"), rng.uniform(0.1, 6)
+        )
+
+    async def kill_leader(self, rng):
+        await self.kill_and_restart(
+            self.pick(rng, self.world.who("almanac", "leader"), "almanac-1"), rng.uniform(0.1, 6)
+        )
+
+    async def kill_any(self, rng):
+        await self.kill_and_restart(self.pick(rng, self.world.cards, ""), rng.uniform(0.1, 6))
+
+    async def pause(self, name, seconds, sockets_first=False):
+        """Freezes a daemon; `sockets_first` as in `Node.wake`."""
+        self.world.pause(name)
+        await asyncio.sleep(seconds)
+        self.world.pause(name, on=False, sockets_first=sockets_first)
+
+    def primary(self, rng):
+        return self.pick(rng, self.world.who("desk", "primary"), "desk-1")
+
+    async def pause_mast(self, rng):
+        name = self.pick(rng, [name for name in self.world.nodes if name.startswith("mast")], "mast-1")
+        await self.pause(name, rng.uniform(1, 7), sockets_first=True)
+
+    async def pause_primary(self, rng):
+        await self.pause(self.primary(rng), rng.uniform(0.5, 8), sockets_first=rng.random() < 0.5)
+
+    async def pause_leader(self, rng):
+        await self.pause(
+            self.pick(rng, self.world.who("almanac", "leader"), "almanac-1"), rng.uniform(0.3, 8)
+        )
+
+    async def pause_clock(self, rng):
+        names = [name for name, node in self.world.nodes.items() if getattr(node.daemon, "clk", None)]
+        await self.pause(self.pick(rng, names, "almanac-1"), rng.uniform(0.5, 8))
+
+    async def pause_any(self, rng):
+        await self.pause(self.pick(rng, self.world.nodes, "mast-1"), rng.uniform(0.2, 8))
+
+    async def leave_daemon(self, rng):
+        name = self.pick(rng, self.world.nodes, "")
+        if name and self.world.nodes[name].awake:
+            self.world.leave(name)
+            await asyncio.sleep(rng.uniform(2.5, 5))
+            if name in self.world.nodes:
+                self.world.kill(name)
+            if self.world.cards[name]["machine"] not in ("scrap", *self.world.net.dark):
+                self.world.start(name)
+
+    async def power(self, rng, core=None, lose=False):
+        """Cuts the power of a core machine for some seconds; `lose` empties its disk as well."""
+        machine = core or f"core-{rng.randint(1, 3)}"
+        if machine in self.world.net.dark or machine not in self.world.disks:
             return
-        self.w.power_off(m)
+        self.world.power_off(machine)
         if lose:
-            self.w.disks[m].lose()
-        await asyncio.sleep(r.uniform(0.2, 6))
-        self.w.power_on(m, [n for n, c in self.w.cards.items() if c["machine"] == m])
-
-    async def power_primary(self, r):
-        n = self.pick(r, self.w.who("almanac", "leader"), "almanac-1")
-        await self.power(r, core=self.w.cards[n]["machine"])
-
-    async def core_gone(self, r):
-        """The machine that leads the store goes, with clock and primary where they are
-        its own: their daemons are killed in one moment, and stay away for a while."""
-        n = self.pick(r, self.w.who("almanac", "leader"), "almanac-1")
-        m = self.w.cards[n]["machine"]
-        names = self.w.on_machine(m)
-        for x in names:
-            self.w.kill(x)
-        await asyncio.sleep(r.uniform(1, 9))
-        for x in names:
-            if x not in self.w.nodes and self.w.cards[x]["machine"] == m and m not in self.w.net.dark:
-                self.w.start(x)
-
-    async def replace_core(self, r):
-        """A control machine is replaced at another address, while two operators want
-        it so; the old one is killed, or taken out unawares and woken late."""
+            self.world.disks[machine].lose()
+        await asyncio.sleep(rng.uniform(0.2, 6))
+        self.world.power_on(
+            machine, [name for name, card in self.world.cards.items() if card["machine"] == machine]
+        )
+
+    async def power_primary(self, rng):
+        leader = self.pick(rng, self.world.who("almanac", "leader"), "almanac-1")
+        await self.power(rng, core=self.world.cards[leader]["machine"])
+
+    async def core_gone(self, rng):
+        """Kills all daemons on the machine of the store's leader at once, which may include the
+        clock leader and the primary scheduler, and starts them again some seconds later."""
+        leader = self.pick(rng, self.world.who("almanac", "leader"), "almanac-1")
+        machine = self.world.cards[leader]["machine"]
+        names = self.world.on_machine(machine)
+        for name in names:
+            self.world.kill(name)
+        await asyncio.sleep(rng.uniform(1, 9))
+        for name in names:
+            if (
+                name not in self.world.nodes
+                and self.world.cards[name]["machine"] == machine
+                and machine not in self.world.net.dark
+            ):
+                self.world.start(name)
+
+    async def replace_core(self, rng):
+        """Replaces a store member by one at another address, which two operators request at once. The
+        old member is killed before, or removed while it runs and perhaps frozen afterwards."""
         for _ in range(100):
-            olds = [n for n in sorted(self.w.nodes) if n.startswith("almanac")]
-            if len(olds) >= 3 and not getattr(self.w, "losing", False):
+            members = [name for name in sorted(self.world.nodes) if name.startswith("almanac")]
+            if len(members) >= 3 and not getattr(self.world, "losing", False):
                 break
             await asyncio.sleep(0.2)
-        n = 1 + sum(1 for c in self.w.cards.values() if c["role"] == "almanac")
-        if n > 6 or len(olds) < 3 or getattr(self.w, "losing", False):
+        number = 1 + sum(1 for card in self.world.cards.values() if card["role"] == "almanac")
+        if number > 6 or len(members) < 3 or getattr(self.world, "losing", False):
             return
-        self.w.losing, name, addr = True, f"almanac-{n}", f"10.0.0.{n}:7000"
-        self.w.add_card(name, "almanac", f"core-{n}", addr, zone=n, data="/d", join=True)
-        self.w.start(name)
-        old, end = r.choice(olds), self.w.loop.vt + 60
-        out, dead = self.w.cards[old]["addr"], r.random() < 0.4
-        if dead:
-            self.w.kill(old)
-        while self.w.loop.vt < end:
-            vs = await asyncio.gather(*[op.replace(out, addr) for op in self.ops])
-            if any(v and addr in v["voters"] and out not in v["voters"] for v in vs):
+        self.world.losing, name, address = True, f"almanac-{number}", f"10.0.0.{number}:7000"
+        self.world.add_card(name, "almanac", f"core-{number}", address, zone=number, data="/d", join=True)
+        self.world.start(name)
+        old, end = rng.choice(members), self.world.loop.vt + 60
+        old_address, killed_first = self.world.cards[old]["addr"], rng.random() < 0.4
+        if killed_first:
+            self.world.kill(old)
+        while self.world.loop.vt < end:
+            memberships = await asyncio.gather(
+                *[operator.replace(old_address, address) for operator in self.operators]
+            )
+            if any(
+                membership and address in membership["voters"] and old_address not in membership["voters"]
+                for membership in memberships
+            ):
                 break
             await asyncio.sleep(0.5)
-        if not dead and r.random() < 0.5:
-            await self.pause(old, r.uniform(1, 5))
-        await asyncio.sleep(r.uniform(0, 2))
-        self.w.kill(old)
-        self.w.cards[old]["machine"] = "scrap"  # nobody starts it again
-        self.w.losing = False
-
-    async def power_all(self, r):
-        """The whole core loses power at one moment, with slow disks under way."""
-        ms = [m for m in sorted(self.w.disks) if m not in self.w.net.dark]
-        for m in ms:
-            self.w.disks[m].slow = 0.2
-        await asyncio.sleep(r.uniform(0.3, 1.5))
-        for m in ms:
-            self.w.power_off(m)
-            self.w.disks[m].slow = 0.0
-        await asyncio.sleep(r.uniform(0.2, 3))
-        for m in sorted(ms, key=lambda x: r.random()):
-            self.w.power_on(m, [n for n, c in self.w.cards.items() if c["machine"] == m])
-            await asyncio.sleep(r.uniform(0, 1))
-
-    async def lose_disk(self, r):
-        """At most one blank disk at a time: two of three is past what we promise."""
-        if getattr(self.w, "losing", False):
+        if not killed_first and rng.random() < 0.5:
+            await self.pause(old, rng.uniform(1, 5))
+        await asyncio.sleep(rng.uniform(0, 2))
+        self.world.kill(old)
+        self.world.cards[old]["machine"] = "scrap"  # other faults do not start it again
+        self.world.losing = False
+
+    async def power_all(self, rng):
+        """Cuts the power of all core machines at once, while slow disks are writing."""
+        machines = [machine for machine in sorted(self.world.disks) if machine not in self.world.net.dark]
+        for machine in machines:
+            self.world.disks[machine].slow = 0.2
+        await asyncio.sleep(rng.uniform(0.3, 1.5))
+        for machine in machines:
+            self.world.power_off(machine)
+            self.world.disks[machine].slow = 0.0
+        await asyncio.sleep(rng.uniform(0.2, 3))
+        for machine in sorted(machines, key=lambda _machine: rng.random()):
+            self.world.power_on(
+                machine, [name for name, card in self.world.cards.items() if card["machine"] == machine]
+            )
+            await asyncio.sleep(rng.uniform(0, 1))
+
+    async def lose_disk(self, rng):
+        """Empties one disk. At most one replica is empty at a time: the store does not promise to
+        survive the loss of two disks out of three."""
+        if getattr(self.world, "losing", False):
             return
-        self.w.losing = True
-        await self.power(r, lose=True)
+        self.world.losing = True
+        await self.power(rng, lose=True)
         for _ in range(600):
-            if not any(getattr(x.daemon, "blank", False) for x in self.w.nodes.values()):
+            if not any(getattr(node.daemon, "blank", False) for node in self.world.nodes.values()):
                 break
             await asyncio.sleep(0.1)
-        self.w.losing = False
-
-    async def stall_disk(self, r):
-        d = self.w.disks[f"core-{r.randint(1, 3)}"]
-        d.stalled = True
-        await asyncio.sleep(r.uniform(0.5, 8))
-        d.stalled = None
-
-    async def slow_disk(self, r):
-        d = self.w.disks[f"core-{r.randint(1, 3)}"]
-        d.slow = r.uniform(0.01, 0.3)
-        await asyncio.sleep(r.uniform(2, 8))
-        d.slow = 0.0
-
-    async def wall_jump(self, r):
-        m = f"core-{r.randint(1, 3)}"
-        self.w.walls[m] = self.w.walls.get(m, 0) + r.choice((-1, 1)) * r.choice((200, 5000, 3_600_000))
-        await asyncio.sleep(r.uniform(1, 8))
-        self.w.walls[m] = 0
+        self.world.losing = False
+
+    async def stall_disk(self, rng):
+        disk = self.world.disks[f"core-{rng.randint(1, 3)}"]
+        disk.stalled = True
+        await asyncio.sleep(rng.uniform(0.5, 8))
+        disk.stalled = None
+
+    async def slow_disk(self, rng):
+        disk = self.world.disks[f"core-{rng.randint(1, 3)}"]
+        disk.slow = rng.uniform(0.01, 0.3)
+        await asyncio.sleep(rng.uniform(2, 8))
+        disk.slow = 0.0
+
+    async def wall_jump(self, rng):
+        machine = f"core-{rng.randint(1, 3)}"
+        self.world.walls[machine] = self.world.walls.get(machine, 0) + rng.choice((-1, 1)) * rng.choice(
+            (200, 5000, 3_600_000)
+        )
+        await asyncio.sleep(rng.uniform(1, 8))
+        self.world.walls[machine] = 0
--- a/hollowhall/sim/faults_net.py
+++ b/hollowhall/sim/faults_net.py
@@ -1,54 +1,67 @@
-"""Faults of the network: cuts of one machine or several, both ways or one, and slow paths."""
+"""Faults of the network: machines cut off in one or both directions, and slow paths."""
 
 import asyncio
 
 
 class NetFaults:
-    async def cut(self, pairs, secs, both=True):
-        pairs = [(a, b) for a, b in pairs if a != b]
-        for a, b in pairs:
-            self.w.net.cut(a, b, both=both)
-        await asyncio.sleep(secs)
-        for a, b in pairs:
-            self.w.net.cuts.discard((a, b))
+    """Network faults, mixed into Faults."""
+
+    async def cut(self, pairs, seconds, both=True):
+        """Cuts the paths from each source to its target, and back if `both`, for some seconds."""
+        pairs = [(source, target) for source, target in pairs if source != target]
+        for source, target in pairs:
+            self.world.net.cut(source, target, both=both)
+        await asyncio.sleep(seconds)
+        for source, target in pairs:
+            self.world.net.cuts.discard((source, target))
             if both:
-                self.w.net.cuts.discard((b, a))
+                self.world.net.cuts.discard((target, source))
 
     def machines(self):
-        return sorted({c["machine"] for c in self.w.cards.values()}) + [
-            "w-" + i for i in sorted(self.w.mates)
+        """Names of all machines of daemons and workers."""
+        return sorted({card["machine"] for card in self.world.cards.values()}) + [
+            "w-" + worker_id for worker_id in sorted(self.world.mates)
         ]
 
-    async def split_core(self, r):
-        m = f"core-{r.randint(1, 3)}"
-        await self.cut([(m, f"core-{i}") for i in (1, 2, 3)], r.uniform(0.5, 9))
+    async def split_core(self, rng):
+        machine = f"core-{rng.randint(1, 3)}"
+        await self.cut([(machine, f"core-{i}") for i in (1, 2, 3)], rng.uniform(0.5, 9))
 
-    async def split_leader(self, r):
-        n = self.pick(r, self.w.who("almanac", "leader"), "almanac-1")
-        m = self.w.cards[n]["machine"]
-        await self.cut([(m, f"core-{i}") for i in (1, 2, 3)], r.uniform(0.5, 9))
+    async def split_leader(self, rng):
+        leader = self.pick(rng, self.world.who("almanac", "leader"), "almanac-1")
+        machine = self.world.cards[leader]["machine"]
+        await self.cut([(machine, f"core-{i}") for i in (1, 2, 3)], rng.uniform(0.5, 9))
 
-    async def isolate_core(self, r):
-        m = f"core-{r.randint(1, 3)}"
-        await self.cut([(m, x) for x in self.machines()], r.uniform(0.5, 9))
+    async def isolate_core(self, rng):
+        machine = f"core-{rng.randint(1, 3)}"
+        await self.cut([(machine, other) for other in self.machines()], rng.uniform(0.5, 9))
 
-    async def isolate_edge(self, r):
-        m = f"edge-{r.randint(1, self.w.shape.masts)}"
-        await self.cut([(m, x) for x in self.machines()], r.uniform(0.5, 9))
+    async def isolate_edge(self, rng):
+        machine = f"edge-{rng.randint(1, self.world.shape.masts)}"
+        await self.cut([(machine, other) for other in self.machines()], rng.uniform(0.5, 9))
 
-    async def core_from_edge(self, r):
+    async def core_from_edge(self, rng):
         await self.cut(
-            [(f"core-{i}", x) for i in (1, 2, 3) for x in self.machines() if not x.startswith("core")],
-            r.uniform(0.5, 7),
+            [
+                (f"core-{i}", other)
+                for i in (1, 2, 3)
+                for other in self.machines()
+                if not other.startswith("core")
+            ],
+            rng.uniform(0.5, 7),
         )
 
-    async def cut_one_way(self, r):
-        ms = self.machines()
-        m = r.choice([x for x in ms if x.startswith(("core", "edge"))])
-        await self.cut([(m, x) if r.random() < 0.5 else (x, m) for x in ms], r.uniform(0.5, 9), both=False)
+    async def cut_one_way(self, rng):
+        machines = self.machines()
+        machine = rng.choice([other for other in machines if other.startswith(("core", "edge"))])
+        await self.cut(
+            [(machine, other) if rng.random() < 0.5 else (other, machine) for other in machines],
+            rng.uniform(0.5, 9),
+            both=False,
+        )
 
-    async def slow_net(self, r):
-        m = r.choice(self.machines())
-        self.w.net.slow[m] = r.uniform(0.01, 0.4)
-        await asyncio.sleep(r.uniform(1, 8))
-        self.w.net.slow.pop(m, None)
+    async def slow_net(self, rng):
+        machine = rng.choice(self.machines())
+        self.world.net.slow[machine] = rng.uniform(0.01, 0.4)
+        await asyncio.sleep(rng.uniform(1, 8))
+        self.world.net.slow.pop(machine, None)
--- a/hollowhall/sim/faults_sharp.py
+++ b/hollowhall/sim/faults_sharp.py
@@ -1,156 +1,187 @@
-"""Faults sharpened to one protection each: frozen between look and send, late word of
-a start or of an old boot, reads at a leader just deposed, sends that nobody repeats."""
+"""Faults that each aim at one protection: a process frozen between a check and the send that
+depends on it, late heartbeats, reads at a former leader, submissions that are not retried."""
 
 import asyncio
 
-from ..standins import shapes as S
+from ..standins import shapes
 
 
 class SharpFaults:
-    async def pause_at(self, r, name, mark, wait=3.0, least=0.2):
-        """Frozen between look and send: at the next message that holds the mark."""
-        if name not in self.w.nodes or name in self.w.net.snooze:
+    """Faults aimed at single protections, mixed into Faults."""
+
+    async def pause_at(self, rng, name, pattern, timeout=3.0, min_seconds=0.2):
+        """Freezes a daemon between a check and a send: at its next message that contains `pattern`."""
+        if name not in self.world.nodes or name in self.world.net.freeze_patterns:
             return
-        ev = asyncio.Event()
-        self.w.net.snooze[name] = (mark, ev)
-        await self.frozen_at(r, name, ev, wait, least)
+        frozen = asyncio.Event()
+        self.world.net.freeze_patterns[name] = (pattern, frozen)
+        await self.frozen_at(rng, name, frozen, timeout, min_seconds)
 
-    async def frozen_at(self, r, name, ev, wait, least):
-        """Waits for the freeze that was set, lets it last, and ends it."""
+    async def frozen_at(self, rng, name, frozen, timeout, min_seconds):
+        """Waits until the daemon is frozen, at most `timeout` seconds, and wakes it after a random time."""
         try:
-            await asyncio.wait_for(ev.wait(), wait)
-            await asyncio.sleep(max(least, r.choice((r.uniform(0.2, 2), r.uniform(2, 9)))))
+            await asyncio.wait_for(frozen.wait(), timeout)
+            await asyncio.sleep(max(min_seconds, rng.choice((rng.uniform(0.2, 2), rng.uniform(2, 9)))))
         except TimeoutError:
-            ev.set()
-        self.w.net.snooze.pop(name, None)
-        self.w.pause(name, on=False, sockets_first=r.random() < 0.5)
+            frozen.set()
+        self.world.net.freeze_patterns.pop(name, None)
+        self.world.pause(name, on=False, sockets_first=rng.random() < 0.5)
 
-    async def pause_turn(self, r):
-        await self.pause_at(r, self.primary(r), r.choice((b"\xa4turn", b"\xa5stamp", b"\xa4keep")))
+    async def pause_turn(self, rng):
+        await self.pause_at(rng, self.primary(rng), rng.choice((b"\xa4turn", b"\xa5stamp", b"\xa4keep")))
 
-    async def pause_beat(self, r):
-        await self.pause_at(r, self.primary(r), b"holdMs")
+    async def pause_beat(self, rng):
+        await self.pause_at(rng, self.primary(rng), b"holdMs")
 
-    async def pause_stamp(self, r):
-        n = [n for n, x in self.w.nodes.items() if getattr(x.daemon, "clk", None)]
-        await self.pause_at(r, self.pick(r, n, "almanac-1"), b"\xa5first")
+    async def pause_stamp(self, rng):
+        names = [name for name, node in self.world.nodes.items() if getattr(node.daemon, "clk", None)]
+        await self.pause_at(rng, self.pick(rng, names, "almanac-1"), b"\xa5first")
 
-    async def pause_append(self, r):
+    async def pause_append(self, rng):
         await self.pause_at(
-            r,
-            self.pick(r, self.w.who("almanac", "leader"), "almanac-1"),
-            r.choice((b"\xa6append", b"\xa2ok")),
+            rng,
+            self.pick(rng, self.world.who("almanac", "leader"), "almanac-1"),
+            rng.choice((b"\xa6append", b"\xa2ok")),
         )
 
-    async def pause_lost(self, r):
-        """Frozen as it gives up a worker, which is back before the primary wakes."""
-        busy = sorted(i for i, m in self.w.mates.items() if m.tasks and m.keeps)
-        n = self.primary(r)
-        if not busy or n not in self.w.nodes or n in self.w.net.snooze:
+    async def pause_lost(self, rng):
+        """Freezes the primary as it declares a worker lost; the worker is back before it wakes."""
+        busy = sorted(
+            worker_id for worker_id, worker in self.world.mates.items() if worker.tasks and worker.keeps
+        )
+        primary = self.primary(rng)
+        if not busy or primary not in self.world.nodes or primary in self.world.net.freeze_patterns:
             return
         cut = asyncio.ensure_future(
-            self.cut([("w-" + r.choice(busy), x) for x in self.machines()], r.uniform(7.6, 8.6))
+            self.cut(
+                [("w-" + rng.choice(busy), machine) for machine in self.machines()], rng.uniform(7.6, 8.6)
+            )
         )
-        e, d = asyncio.Event(), self.w.nodes[n].daemon
-        if r.random() < 0.5:  # before it asks for the stamp: that one will be fresh
-            first = d.hold_event
+        frozen, daemon = asyncio.Event(), self.world.nodes[primary].daemon
+        if rng.random() < 0.5:  # before it requests the timestamp, which will then be fresh
+            original = daemon.hold_event
 
             def hold_event(*, event, **kw):
-                if event[0] == "lost" and n not in self.w.net.snooze and not e.is_set():
-                    self.w.net.snooze[n] = (b"\xa5stamp", e)
-                first(ev=event, **kw)
-
-            d.hold_event = hold_event
-        else:  # after it: the turn has an old one
-            self.w.net.snooze[n] = (b"\xa4lost", e)
-        await self.frozen_at(r, n, e, 10.0, 3.0)
+                if (
+                    event[0] == "lost"
+                    and primary not in self.world.net.freeze_patterns
+                    and not frozen.is_set()
+                ):
+                    self.world.net.freeze_patterns[primary] = (b"\xa5stamp", frozen)
+                original(event=event, **kw)
+
+            daemon.hold_event = hold_event
+        else:  # after that: the batch has an old timestamp
+            self.world.net.freeze_patterns[primary] = (b"\xa4lost", frozen)
+        await self.frozen_at(rng, primary, frozen, 10.0, 3.0)
         await cut
 
-    async def late_start(self, r):
-        """Outcomes of beats lie in a frozen mast while their workers leave."""
-        k = r.randrange(len(self.w.masts))
-        n = f"mast-{k + 1}"
-        ms = [m for i, m in sorted(self.w.mates.items()) if m.at == k and not m.keeps and not m.leaving]
-        if n not in self.w.nodes or not ms:
+    async def late_start(self, rng):
+        """Heartbeat answers with starts are held up in a frozen gateway while their workers leave."""
+        index = rng.randrange(len(self.world.masts))
+        gateway = f"mast-{index + 1}"
+        workers = [
+            worker
+            for _, worker in sorted(self.world.mates.items())
+            if worker.gateway_index == index and not worker.keeps and not worker.leaving
+        ]
+        if gateway not in self.world.nodes or not workers:
             return
-        lane = sorted(self.w.shape.lanes)[0]
-        for kind in sorted({m.kind for m in ms}):
-            self.send({"lane": lane, "steps": [S.step("each", kind, 300, tasks=18, spread={"perWorker": 1})]})
+        queue = sorted(self.world.shape.lanes)[0]
+        for kind in sorted({worker.kind for worker in workers}):
+            self.send(
+                {"lane": queue, "steps": [shapes.step("each", kind, 300, tasks=18, spread={"perWorker": 1})]}
+            )
         await asyncio.sleep(0.05)
-        self.w.pause(n)
-        cards = [(m.id, m.kind, m.zone, m.rack, m.room) for m in ms]
-        for m in ms:
-            self.w.mate_nodes[m.id].run(m.leave())
+        self.world.pause(gateway)
+        cards = [(worker.id, worker.kind, worker.zone, worker.rack, worker.room) for worker in workers]
+        for worker in workers:
+            self.world.worker_nodes[worker.id].run(worker.leave())
         await asyncio.sleep(5.6)
-        self.w.pause(n, on=False, sockets_first=True)
+        self.world.pause(gateway, on=False, sockets_first=True)
         await asyncio.sleep(2.0)
-        for m, c in zip(ms, cards):
-            if self.w.mates.get(m.id) is m:
-                self.w.crash_mate(m.id)
-                self.w.add_mate(c)
-
-    async def late_beat(self, r):
-        """A beat of a worker's old boot comes after its new boot has work."""
-        k = r.randrange(len(self.w.masts))
-        n = f"mast-{k + 1}"
-        ms = [m for i, m in sorted(self.w.mates.items()) if m.at == k and not m.leaving]
-        if n not in self.w.nodes or not ms:
+        for worker, card in zip(workers, cards):
+            if self.world.mates.get(worker.id) is worker:
+                self.world.crash_mate(worker.id)
+                self.world.add_mate(card)
+
+    async def late_beat(self, rng):
+        """A heartbeat of a worker's previous boot arrives after its new boot has been assigned work."""
+        index = rng.randrange(len(self.world.masts))
+        gateway = f"mast-{index + 1}"
+        workers = [
+            worker
+            for _, worker in sorted(self.world.mates.items())
+            if worker.gateway_index == index and not worker.leaving
+        ]
+        if gateway not in self.world.nodes or not workers:
             return
-        self.w.pause(n)
+        self.world.pause(gateway)
         await asyncio.sleep(0.6)
-        for m in ms:
-            if self.w.mates.get(m.id) is m:
-                self.w.crash_mate(m.id)
-                self.w.add_mate((m.id, m.kind, m.zone, m.rack, m.room))
-        await asyncio.sleep(r.uniform(0.5, 3))
-        self.w.pause(n, on=False, sockets_first=r.random() < 0.5)
-
-    async def squeeze(self, r):
-        """A limit far below what runs, for some seconds, while jobs come."""
-        make, lane = self.w.shape.mix[0][0], ""
-        lane = make(self.req.rng)["lane"]
-        row = self.w.shape.lanes[lane]
-        await self.edit_one(self.ops[0], r, {lane: row | {"limit": 2}})
+        for worker in workers:
+            if self.world.mates.get(worker.id) is worker:
+                self.world.crash_mate(worker.id)
+                self.world.add_mate((worker.id, worker.kind, worker.zone, worker.rack, worker.room))
+        await asyncio.sleep(rng.uniform(0.5, 3))
+        self.world.pause(gateway, on=False, sockets_first=rng.random() < 0.5)
+
+    async def squeeze(self, rng):
+        """Lowers a queue's limit far below what it runs for some seconds, while jobs are submitted."""
+        make_job, queue = self.world.shape.mix[0][0], ""
+        queue = make_job(self.requester.rng)["lane"]
+        row = self.world.shape.lanes[queue]
+        await self.edit_one(self.operators[0], rng, {queue: row | {"limit": 2}})
         for _ in range(60):
-            self.send(make(self.req.rng))
+            self.send(make_job(self.requester.rng))
             await asyncio.sleep(0.1)
         for _ in range(20):
-            await self.edit_one(self.ops[0], r, {lane: row})
-            c = await self.ops[0].read()
-            if c is not None and c["rows"].get(lane, {}).get("limit") == row["limit"]:
+            await self.edit_one(self.operators[0], rng, {queue: row})
+            configuration = await self.operators[0].read()
+            if (
+                configuration is not None
+                and configuration["rows"].get(queue, {}).get("limit") == row["limit"]
+            ):
                 break
             await asyncio.sleep(0.3)
 
-    async def shots(self, r):
-        """Jobs sent once and never again, while the store's leader goes, or takes what
-        the primary proposes and cannot answer it."""
-        n, d = self.pick(r, self.w.who("almanac", "leader"), "almanac-1"), self.primary(r)
-        a, b = self.w.cards[n]["machine"], self.w.cards[d]["machine"]
-        if a != b:
-            self.extra.append(asyncio.ensure_future(self.cut([(a, b)], 3.0, both=False)))
+    async def shots(self, rng):
+        """Submits jobs without retries, while the store's leader is killed, or receives the
+        primary's proposals and cannot answer them."""
+        leader, primary = self.pick(rng, self.world.who("almanac", "leader"), "almanac-1"), self.primary(rng)
+        leader_machine, primary_machine = (
+            self.world.cards[leader]["machine"],
+            self.world.cards[primary]["machine"],
+        )
+        if leader_machine != primary_machine:
+            self.request_tasks.append(
+                asyncio.ensure_future(self.cut([(leader_machine, primary_machine)], 3.0, both=False))
+            )
         for i in range(60):
-            self.send(self.w.shape.mix[0][0](self.req.rng), tries=1)
+            self.send(self.world.shape.mix[0][0](self.requester.rng), tries=1)
             await asyncio.sleep(0.02)
-            if i == 30 and a == b:
-                self.w.kill(n)
-        await asyncio.sleep(r.uniform(0.5, 3))
-        if n not in self.w.nodes and self.w.cards[n]["machine"] not in ("scrap", *self.w.net.dark):
-            self.w.start(n)
-
-    async def stale_reads(self, r):
-        """Edits go on at another leader; reads lie before the old one as it wakes."""
-        n = self.pick(r, self.w.who("almanac", "leader"), "almanac-1")
-        if n not in self.w.nodes:
+            if i == 30 and leader_machine == primary_machine:
+                self.world.kill(leader)
+        await asyncio.sleep(rng.uniform(0.5, 3))
+        if leader not in self.world.nodes and self.world.cards[leader]["machine"] not in (
+            "scrap",
+            *self.world.net.dark,
+        ):
+            self.world.start(leader)
+
+    async def stale_reads(self, rng):
+        """Freezes the store's leader while another one takes edits; reads wait in its sockets as it wakes."""
+        leader = self.pick(rng, self.world.who("almanac", "leader"), "almanac-1")
+        if leader not in self.world.nodes:
             return
-        lane = sorted(self.w.shape.lanes)[0]
-        self.w.pause(n)
-        end = self.w.loop.vt + r.uniform(3, 6)
-        while self.w.loop.vt < end:
+        queue = sorted(self.world.shape.lanes)[0]
+        self.world.pause(leader)
+        end = self.world.loop.vt + rng.uniform(3, 6)
+        while self.world.loop.vt < end:
             await self.edit_one(
-                self.ops[0], r, {lane: self.w.shape.lanes[lane] | {"weight": r.randint(1, 9)}}
+                self.operators[0], rng, {queue: self.world.shape.lanes[queue] | {"weight": rng.randint(1, 9)}}
             )
             await asyncio.sleep(0.2)
-        ts = [asyncio.ensure_future(self.ops[1].read()) for _ in range(12)]
+        reads = [asyncio.ensure_future(self.operators[1].read()) for _ in range(12)]
         await asyncio.sleep(0.01)
-        self.w.pause(n, on=False, sockets_first=True)
-        await asyncio.gather(*ts)
+        self.world.pause(leader, on=False, sockets_first=True)
+        await asyncio.gather(*reads)
--- a/hollowhall/sim/net.py
+++ b/hollowhall/sim/net.py
@@ -1,7 +1,7 @@
-"""The simulated network. Wires keep order; a message takes a short random time and
-now and then a long one. A cut holds messages back, as retransmission would, and
-resets the wire when it lasts; it may be one way only. HTTP goes over the same
-paths. A killed process resets its wires, a machine without power says nothing."""
+"""The simulated network. Wires keep the order of messages; a message takes a short random time,
+rarely a long one. A cut path holds messages back, as retransmission would, and resets the wire
+when it lasts; it may be cut in one direction only. HTTP uses the same paths. A killed process
+resets its wires; a machine without power sends nothing."""
 
 import asyncio
 import json
@@ -11,174 +11,181 @@
 from .wire import RETRY, Port, SimWire
 
 
-def shown(b):
-    """A reply's body as its reader has it: JSON where it is that, else text."""
-    if isinstance(b, bytes):
+def shown(body):
+    """The body of a reply as its reader receives it: parsed JSON where possible, otherwise text."""
+    if isinstance(body, bytes):
         try:
-            return json.loads(b or b"null")
+            return json.loads(body or b"null")
         except ValueError:
-            return b.decode(errors="replace")
-    return b if isinstance(b, str) else json.loads(json.dumps(b))
+            return body.decode(errors="replace")
+    return body if isinstance(body, str) else json.loads(json.dumps(body))
 
 
 class SimNet:
-    """The one network; `face(node)` is what a node's seam sees of it."""
+    """The network of a simulation; `face(node)` is the network interface of one node."""
 
     def __init__(self, *, loop, rng):
         self.loop, self.rng = loop, rng
-        self.ports, self.https, self.home = {}, {}, {}
+        self.ports, self.http_listeners, self.home = {}, {}, {}
         self.cuts, self.dark, self.slow = set(), set(), {}
-        self.sent, self.snooze = 0, {}
-        self.frame_s = self.byte_s = self.http_s = 0.0  # s of a daemon's processor
+        self.sent, self.freeze_patterns = 0, {}
+        self.frame_s = self.byte_s = self.http_s = (
+            0.0  # s of CPU time of a daemon: each frame, byte, HTTP request
+        )
 
-    def frame_cost(self, b):
-        return self.frame_s + self.byte_s * len(b)
+    def frame_cost(self, frame):
+        return self.frame_s + self.byte_s * len(frame)
 
-    def doze(self, node, b):
-        """Whether this send waits: a machine set to freeze between look and send does
-        so at the first message that holds the mark, and what follows it waits too."""
-        mark = self.snooze.get(node.name)
-        if mark is None:
+    def freeze_before_send(self, node, frame):
+        """Whether this send has to wait. A node set to freeze between a check and a send is paused at
+        its first message that contains the pattern; that message and later ones wait."""
+        pattern_and_event = self.freeze_patterns.get(node.name)
+        if pattern_and_event is None:
             return False
-        if node.awake and mark[0] in b:
+        if node.awake and pattern_and_event[0] in frame:
             node.pause()
-            mark[1].set()
+            pattern_and_event[1].set()
         return not node.awake
 
-    def later(self, d, f, *a):
-        """A happening of the network itself, in no node's context."""
-        self.loop.call_at(self.loop.time() + d, self.outside, f, a, context=self.bare)
+    def later(self, delay, function, *args):
+        """Calls a function of the network itself after `delay` seconds, in no node's context."""
+        self.loop.call_at(self.loop.time() + delay, self.outside, function, args, context=self.bare)
 
-    def outside(self, f, a):
-        f(*a)
+    def outside(self, function, args):
+        function(*args)
 
-    def delay(self, a, b):
+    def delay(self, source, target):
+        """Seconds that a message takes between two machines: one in 500 takes 0.2 s longer."""
         self.sent += 1
-        d = 0.0001 if a == b else 0.0003 + 0.0007 * self.rng.random()
-        if a != b and self.rng.random() < 0.002:
-            d += 0.2
-        return d + self.slow.get(a, 0.0) + self.slow.get(b, 0.0)
-
-    def is_cut(self, a, b):
-        return a != b and ((a, b) in self.cuts or a in self.dark or b in self.dark)
+        seconds = 0.0001 if source == target else 0.0003 + 0.0007 * self.rng.random()
+        if source != target and self.rng.random() < 0.002:
+            seconds += 0.2
+        return seconds + self.slow.get(source, 0.0) + self.slow.get(target, 0.0)
+
+    def is_cut(self, source, target):
+        return source != target and (
+            (source, target) in self.cuts or source in self.dark or target in self.dark
+        )
 
-    def cut(self, a, b, *, both=True):
-        self.cuts.add((a, b))
+    def cut(self, source, target, *, both=True):
+        self.cuts.add((source, target))
         if both:
-            self.cuts.add((b, a))
+            self.cuts.add((target, source))
 
     def heal(self):
         self.cuts.clear()
 
     async def dial(self, node, addr):
-        m = self.home.get(addr, "")
-        await asyncio.sleep(self.delay(node.machine, m))
+        machine = self.home.get(addr, "")
+        await asyncio.sleep(self.delay(node.machine, machine))
         for _ in range(100):
-            if not self.is_cut(node.machine, m) and not self.is_cut(m, node.machine):
+            if not self.is_cut(node.machine, machine) and not self.is_cut(machine, node.machine):
                 break
             await asyncio.sleep(RETRY)
         else:
             raise TimeoutError
-        p = self.ports.get(addr)
-        if p is None or not p[0].alive:
+        port = self.ports.get(addr)
+        if port is None or not port[0].alive:
             raise ConnectionRefusedError(addr)
-        there, got = p
-        a, b = (
-            SimWire(net=self, node=node, peer_machine=m),
-            SimWire(net=self, node=there, peer_machine=node.machine),
+        listener, on_connection = port
+        near_end, far_end = (
+            SimWire(net=self, node=node, peer_machine=machine),
+            SimWire(net=self, node=listener, peer_machine=node.machine),
         )
-        a.other, b.other = b, a
-        node.wires.append(a)
-        there.wires.append(b)
-        there.run(got(b))
-        return a
+        near_end.other, far_end.other = far_end, near_end
+        node.wires.append(near_end)
+        listener.wires.append(far_end)
+        listener.run(on_connection(far_end))
+        return near_end
 
     def down(self, node, *, silent):
-        """A node's process is gone: its ports close, its wires reset, or say nothing."""
-        for addr in [a for a, p in self.ports.items() if p[0] is node]:
+        """Closes the ports of an ended process. Its wires are reset, unless `silent`."""
+        for addr in [address for address, port in self.ports.items() if port[0] is node]:
             del self.ports[addr]
-        for addr in [a for a, p in self.https.items() if p[0] is node]:
-            del self.https[addr]
-        for w in node.wires:
-            if w.open and not silent:
-                w.close()
-            w.open = False
+        for addr in [address for address, port in self.http_listeners.items() if port[0] is node]:
+            del self.http_listeners[addr]
+        for wire in node.wires:
+            if wire.open and not silent:
+                wire.close()
+            wire.open = False
 
     def down_wires(self, node):
-        """Every wire of a node is reset; its process goes on."""
-        for w in node.wires:
-            w.close()
+        """Resets every wire of a node whose process goes on."""
+        for wire in node.wires:
+            wire.close()
 
     async def http(self, *, machine, method, addr, path, body, wait, headers=None):
-        """One HTTP ask from a machine; the daemon's own `take` serves it. A body of bytes
-        goes out as it is, anything else as JSON."""
+        """Sends one HTTP request from a machine; the daemon's own handler serves it. A body of bytes is
+        sent unchanged, any other as JSON. Returns (status, body, headers) or a Failure."""
         from ..mast import Call
 
-        m, f = self.home.get(addr, ""), self.loop.create_future()
-        q = path.split("?", 1)
-        query = dict(x.split("=", 1) for x in q[1].split("&")) if len(q) > 1 else {}
+        server_machine, answer = self.home.get(addr, ""), self.loop.create_future()
+        parts = path.split("?", 1)
+        query = dict(value.split("=", 1) for value in parts[1].split("&")) if len(parts) > 1 else {}
         if not isinstance(body, bytes):
             body = b"" if body is None else json.dumps(body).encode()
-        h = {"host": addr, "content-type": "application/json"} | {
-            k.lower(): str(x) for k, x in (headers or {}).items()
+        sent_headers = {"host": addr, "content-type": "application/json"} | {
+            name.lower(): str(value) for name, value in (headers or {}).items()
         }
         call = Call(
             method=method,
-            path=q[0],
+            path=parts[0],
             query=query,
             body=body,
-            headers=h,
-            ctype=h["content-type"].split(";")[0].strip(),
+            headers=sent_headers,
+            ctype=sent_headers["content-type"].split(";")[0].strip(),
         )
-        left = [0, lambda: None]
+        retries_and_cancel = [0, lambda: None]
 
-        def back(r):
-            def give():
-                if self.is_cut(m, machine):
-                    left[0] += 1
-                    if left[0] < 50:
-                        self.later(RETRY, give)
-                elif not f.done():
-                    f.set_result((r.status, shown(r.body), r.headers))
+        def send_reply(reply):
+            def deliver_reply():
+                if self.is_cut(server_machine, machine):
+                    retries_and_cancel[0] += 1
+                    if retries_and_cancel[0] < 50:
+                        self.later(RETRY, deliver_reply)
+                elif not answer.done():
+                    answer.set_result((reply.status, shown(reply.body), reply.headers))
 
-            self.later(self.delay(m, machine), give)
+            self.later(self.delay(server_machine, machine), deliver_reply)
 
-        def there():
-            if f.done():
+        def deliver_request():
+            if answer.done():
                 return
-            if self.is_cut(machine, m):
-                left[0] += 1
-                if left[0] < 50:
-                    self.later(RETRY, there)
+            if self.is_cut(machine, server_machine):
+                retries_and_cancel[0] += 1
+                if retries_and_cancel[0] < 50:
+                    self.later(RETRY, deliver_request)
                 return
-            p = self.https.get(addr)
-            if p is None or not p[0].alive:
-                f.set_result(CircuitDown(addr=addr))
+            listener = self.http_listeners.get(addr)
+            if listener is None or not listener[0].alive:
+                answer.set_result(CircuitDown(addr=addr))
                 return
-            node, take = p
-            node.http.append(f)
+            node, take = listener
+            node.http.append(answer)
 
-            def go():
-                node.debt += self.http_s
-                left[1] = take(call=call, callback=back)
+            def handle():
+                node.owed_s += self.http_s
+                retries_and_cancel[1] = take(call=call, callback=send_reply)
 
-            self.loop.call_soon(go, context=node.ctx)
+            self.loop.call_soon(handle, context=node.ctx)
 
-        self.later(self.delay(machine, m), there)
+        self.later(self.delay(machine, server_machine), deliver_request)
         try:
-            return await asyncio.wait_for(asyncio.shield(f), wait)
+            return await asyncio.wait_for(asyncio.shield(answer), wait)
         except TimeoutError:
             return Late(op=path)
         finally:
-            if not f.done():
-                f.set_result(Unsure(why="gone"))
-            left[1]()
+            if not answer.done():
+                answer.set_result(Unsure(why="gone"))
+            retries_and_cancel[1]()
 
     def face(self, node):
         return Face(net=self, node=node)
 
 
 class Face:
+    """The network interface that the daemons of one node use."""
+
     def __init__(self, *, net, node):
         self.net, self.node = net, node
 
@@ -192,14 +199,14 @@
         return Port(net=self.net, addr=addr)
 
     def dial_http(self):
-        """Marks this network as one where HTTP needs no shell."""
+        """Its presence tells daemons that this network serves HTTP without an HTTP listener."""
 
     def serve_http(self, *, addr, take):
-        self.net.https[addr] = (self.node, take)
+        self.net.http_listeners[addr] = (self.node, take)
 
 
 class SimWeb:
-    """HTTP as a stand-in on a machine uses it."""
+    """The HTTP client of a simulated worker or client on one machine."""
 
     def __init__(self, *, net, machine):
         self.net, self.machine = net, machine
--- a/hollowhall/sim/stands.py
+++ b/hollowhall/sim/stands.py
@@ -1,5 +1,5 @@
-"""The stand-ins of a simulated fleet: workers on machines of their own, whose clocks go
-at their own pace, and requesters and operators outside."""
+"""Simulated workers, on machines whose clocks run at slightly different rates, and simulated
+clients and operators."""
 
 import random
 
@@ -11,38 +11,44 @@
 
 
 class StandsMixin:
+    """Adds and removes simulated workers, clients and operators of a World."""
+
     def now_of(self, machine):
+        """The monotonic clock of a machine, as a function."""
         self.bases.setdefault(machine, self.rng.random() * 1e4)
         return lambda: self.now_at(machine)
 
     def add_mate(self, card):
-        m = "w-" + card[0]
-        node = Node(name=card[0], machine=m, loop=self.loop)
+        """Starts a worker; `card` is (id, kind, zone, rack, room)."""
+        machine = "w-" + card[0]
+        node = Node(name=card[0], machine=machine, loop=self.loop)
         node.http = []
-        mate = Mate(
+        worker = Mate(
             card=card,
             masts=self.masts,
-            web=SimWeb(net=self.net, machine=m),
+            web=SimWeb(net=self.net, machine=machine),
             hist=self.hist,
             rng=random.Random(self.rng.getrandbits(60)),
-            now=self.now_of(m),
+            now=self.now_of(machine),
             keeps=int(card[0][-2:]) % self.run_on != 0,
         )
-        if not mate.keeps:
-            mate.wait = 6.0  # s; such an agent waits long for an outcome, too
+        if not worker.keeps:
+            worker.heartbeat_timeout = (
+                6.0  # s; an agent that keeps running also waits long for a heartbeat answer
+            )
         elif self.rng.random() < 0.4:
-            mate.gap = 0.4  # s; and some look at their hold late
-        self.mates[card[0]], self.mate_nodes[card[0]] = mate, node
-        node.run(mate.live())
-        return mate
+            worker.lease_check_period = 0.4  # s; some agents check their lease late
+        self.mates[card[0]], self.worker_nodes[card[0]] = worker, node
+        node.run(worker.live())
+        return worker
 
     def add_crew(self, cards=None):
-        for c in cards or crew_of(self.shape):
-            self.add_mate(c)
+        for card in cards or crew_of(self.shape):
+            self.add_mate(card)
 
-    def crash_mate(self, i):
-        node = self.mate_nodes.pop(i)
-        self.mates.pop(i).crash()
+    def crash_mate(self, worker_id):
+        node = self.worker_nodes.pop(worker_id)
+        self.mates.pop(worker_id).crash()
         node.kill()
         self.graves.append(node)
 
--- a/hollowhall/sim/storm.py
+++ b/hollowhall/sim/storm.py
@@ -1,6 +1,6 @@
-"""A storm: a shape's fleet under load, a schedule of faults from the seed, then calm
-until what was taken has ended, then the checker. `run` is what tests, the storm
-command, replay and the shrinker share."""
+"""A fault campaign (storm): a fleet under load, a schedule of faults drawn from a seed, a calm time
+for accepted jobs to end, then the checker. Tests, the `storm` command, its replay and its
+shrinking all use `run`."""
 
 import asyncio
 import hashlib
@@ -12,11 +12,13 @@
 from .faults_work import AllFaults
 from .world import World
 
-CALM = 45.0  # s; after the last fault, for everything to end
+CALM = 45.0  # s; after the load, for accepted jobs to end
 
 
 @dataclass(kw_only=True)
 class Storm:
+    """The result of one run: `bad` are the violations found, `seen` what the checker counted."""
+
     seed: int
     bad: list
     seen: dict
@@ -27,12 +29,13 @@
     world: object
 
     def digest(self):
-        h = hashlib.sha256()
-        for x in self.log:
-            h.update(x.encode())
-        for r in self.rows:
-            h.update(repr(r).encode())
-        return h.hexdigest()[:24]
+        """A hash of the log and the history: equal seeds must give equal digests."""
+        digest = hashlib.sha256()
+        for line in self.log:
+            digest.update(line.encode())
+        for row in self.rows:
+            digest.update(repr(row).encode())
+        return digest.hexdigest()[:24]
 
 
 def run(
@@ -48,40 +51,51 @@
     mix=None,
     calm=CALM,
 ):
-    w = world or World(seed=seed, shape=SHAPES[shape])
+    simulation = world or World(seed=seed, shape=SHAPES[shape])
     plan = schedule(seed=seed, kinds=kinds, n=n) if plan is None else plan
-    fig = {}
+    figures = {}
 
-    async def go():
-        w.start_all()
-        eye = asyncio.ensure_future(w.watch())
-        ops = [w.operator(tag="op1"), w.operator(tag="op2")]
-        req, side = w.requester(tag="job"), w.requester(tag="side")
-        await ops[0].found(lanes=w.shape.lanes)
-        w.add_crew()
-        t = asyncio.ensure_future(req.run(mix=mix or w.shape.mix, seconds=load, times=times, settle=calm))
-        f = AllFaults(world=w, requester=side, operators=ops, calm=calm)
-        await f.run(plan)
-        await t
-        w.hist.note("calm")
-        await ops[0].read()
-        fig.update(req.figures)
-        eye.cancel()
+    async def play():
+        simulation.start_all()
+        watching = asyncio.ensure_future(simulation.watch())
+        operators = [simulation.operator(tag="op1"), simulation.operator(tag="op2")]
+        requester, fault_requester = simulation.requester(tag="job"), simulation.requester(tag="side")
+        await operators[0].found(lanes=simulation.shape.lanes)
+        simulation.add_crew()
+        load_run = asyncio.ensure_future(
+            requester.run(mix=mix or simulation.shape.mix, seconds=load, times=times, settle=calm)
+        )
+        faults = AllFaults(world=simulation, requester=fault_requester, operators=operators, calm=calm)
+        await faults.run(plan)
+        await load_run
+        simulation.hist.note("calm")
+        await operators[0].read()
+        figures.update(requester.figures)
+        watching.cancel()
 
-    w.run(go(), limit=900.0)
-    bad, seen = judge(w.hist.rows)
-    return Storm(seed=seed, bad=bad, seen=seen, rows=w.hist.rows, log=w.log, plan=plan, figures=fig, world=w)
+    simulation.run(play(), limit=900.0)
+    violations, seen = judge(simulation.hist.rows)
+    return Storm(
+        seed=seed,
+        bad=violations,
+        seen=seen,
+        rows=simulation.hist.rows,
+        log=simulation.log,
+        plan=plan,
+        figures=figures,
+        world=simulation,
+    )
 
 
-def shrink(*, seed, plan, say=lambda s: None, rule=None, **kw):
-    """Leaves faults out, one at a time, while the same rule still breaks."""
-    i = 0
-    while i < len(plan):
-        less = plan[:i] + plan[i + 1 :]
-        s = run(seed=seed, plan=less, **kw)
-        if any(rule is None or b.rule == rule for b in s.bad):
-            plan = less
-            say(f"without {i}: still fails, {len(plan)} faults left")
+def shrink(*, seed, plan, say=lambda result: None, rule=None, **kw):
+    """Leaves out faults, one at a time, while the rule is still violated; the shortened plan."""
+    index = 0
+    while index < len(plan):
+        fewer = plan[:index] + plan[index + 1 :]
+        result = run(seed=seed, plan=fewer, **kw)
+        if any(rule is None or violation.rule == rule for violation in result.bad):
+            plan = fewer
+            say(f"without {index}: still fails, {len(plan)} faults left")
         else:
-            i += 1
+            index += 1
     return plan
--- a/hollowhall/sim/world.py
+++ b/hollowhall/sim/world.py
@@ -1,6 +1,6 @@
-"""A whole fleet in one seeded simulation: the daemons' own code on simulated
-machines, with stand-in workers and requesters. Machines can be killed, paused, cut
-off, lose power or disk, and have their wall clock moved."""
+"""A whole fleet in one seeded simulation: the daemons' own code on simulated machines, with
+simulated workers and clients. Machines can be killed, paused or cut off, lose power or their
+disk, and have their wall clock moved."""
 
 import asyncio
 import contextvars
@@ -18,13 +18,15 @@
 from .net import SimNet
 from .stands import StandsMixin
 
-BASE_MS = 1_780_000_000_000  # ms; the true time at the start of every simulation
-CPU = (8e-6, 50e-6, 0.1e-6, 215e-6)  # s; a step, a frame, a byte of it, an HTTP ask: measured
-DAEMON_PACE, WORKER_PACE = 0.0005, 0.05  # part; how far monotonic clocks differ in pace
+BASE_MS = 1_780_000_000_000  # true time at the start of every simulation
+CPU = (8e-6, 50e-6, 0.1e-6, 215e-6)  # s of CPU time: a callback, a frame, a byte of a frame, an HTTP request
+DAEMON_PACE, WORKER_PACE = 0.0005, 0.05  # fraction by which the rates of monotonic clocks differ
 ROLES = {"almanac": Almanac, "desk": Desk, "mast": Mast}
 
 
 class SimSeam:
+    """The runtime of one simulated process: clocks, random numbers, network, disk and log."""
+
     def __init__(self, *, world, node):
         self.world, self.node = world, node
         self.rng = random.Random(world.rng.getrandbits(60))
@@ -38,22 +40,25 @@
         return int(self.world.true_ms() + self.world.walls.get(self.node.machine, 0))
 
     def spend(self, *, s):
+        """Charges `s` seconds of CPU time to the process; the seconds that were charged."""
         if not self.node.cost:
             return 0.0
-        self.node.debt += s * self.world.cpu_times
+        self.node.owed_s += s * self.world.cpu_times
         return s * self.world.cpu_times * self.node.times
 
     def writer(self, *, name):
-        def say(e, **f):
-            tail = " ".join(f"{a}={b}" for a, b in f.items())
-            self.world.log.append(f"{self.world.loop.vt:.6f} {name} HH{e.no} {tail}")
+        def write(log_event, **fields):
+            tail = " ".join(f"{field}={value}" for field, value in fields.items())
+            self.world.log.append(f"{self.world.loop.vt:.6f} {name} HH{log_event.no} {tail}")
 
-        return say
+        return write
 
 
 class World(StandsMixin):
+    """A simulated fleet: its machines, its processes (`nodes`, by name), its log and its history."""
+
     def __init__(self, *, seed, shape, almanacs=3, desks=3, masts=None, params=None, build=None):
-        gc.collect()  # what an earlier world left must not end in the midst of this one
+        gc.collect()  # objects of an earlier World must not be finalized during this one
         self.seed, self.shape, self.rng = seed, shape, random.Random(seed)
         self.loop = SimLoop()
         self.net = SimNet(loop=self.loop, rng=random.Random(self.rng.getrandbits(60)))
@@ -61,12 +66,12 @@
         self.log, self.graves, self.nodes, self.cards = [], [], {}, {}
         self.disks, self.walls, self.bases = {}, {}, {}
         self.cpu_times, self.paces, self.pace_rng = 1.0, {}, random.Random(seed * 31 + 7)
-        self.step_s = 0.0  # s of a processor for one step; 0: steps take no time
-        self.run_on = 4  # every so manieth worker runs on when it is cut off
+        self.step_s = 0.0  # s of CPU time of one callback; 0: callbacks take no time
+        self.run_on = 4  # one worker in so many keeps running tasks without a lease
         self.extra, self.build = params or {}, build or ROLES
         self.hist = History(now=self.true_ms)
-        self.mates, self.mate_nodes = {}, {}
-        n = masts or shape.masts
+        self.mates, self.worker_nodes = {}, {}
+        gateways = masts or shape.masts
         self.seeds = [f"10.0.0.{i + 1}:7000" for i in range(almanacs)]
         for i in range(almanacs):
             self.add_card(
@@ -86,7 +91,7 @@
                 f"10.0.0.{i % almanacs + 1}:{7100 + i}",
                 zone=i,
             )
-        for i in range(n):
+        for i in range(gateways):
             self.add_card(
                 f"mast-{i + 1}",
                 "mast",
@@ -95,14 +100,15 @@
                 zone=i,
                 http=f"10.0.1.{i + 1}:8000",
             )
-        self.masts = [c["http"] for c in self.cards.values() if c["role"] == "mast"]
+        self.masts = [card["http"] for card in self.cards.values() if card["role"] == "mast"]
 
     def slow_cpus(self, *, times=1.0):
-        """Daemons' processors take time, as measured (docs/measurements.md, crowd)."""
-        n, self.cpu_times = self.net, times
-        self.step_s, n.frame_s, n.byte_s, n.http_s = (x * times for x in CPU)
+        """Makes the daemons' callbacks take CPU time, as measured (docs/measurements.md, crowd)."""
+        net, self.cpu_times = self.net, times
+        self.step_s, net.frame_s, net.byte_s, net.http_s = (cost * times for cost in CPU)
 
-    def add_card(self, name, role, machine, addr, *, zone, **kw):
+    def add_card(self, name, role, machine, addr, *, zone, **more):
+        """Defines a daemon, which `start` starts; `more` are settings of its role."""
         self.cards[name] = dict(
             id=name,
             role=role,
@@ -110,20 +116,20 @@
             machine=machine,
             zone=f"z{zone % self.shape.zones + 1}",
             seeds=list(self.seeds),
-            **kw,
+            **more,
         )
         self.net.home[addr] = machine
-        if "http" in kw:
-            self.net.home[kw["http"]] = machine
+        if "http" in more:
+            self.net.home[more["http"]] = machine
         self.bases.setdefault(machine, self.rng.random() * 1e4)
         if role == "almanac":
             self.disks[machine] = SimDisk(rng=random.Random(self.rng.getrandbits(60)))
 
     def now_at(self, machine):
-        """A machine's own monotonic time: from its own start, and at its own pace."""
+        """The monotonic time of a machine in s, with its own origin and rate."""
         if machine not in self.paces:
-            s = WORKER_PACE if machine.startswith("w-") else DAEMON_PACE
-            self.paces[machine] = 1 + self.pace_rng.uniform(-s, s)
+            max_difference = WORKER_PACE if machine.startswith("w-") else DAEMON_PACE
+            self.paces[machine] = 1 + self.pace_rng.uniform(-max_difference, max_difference)
         return self.loop.vt * self.paces[machine] + self.bases[machine]
 
     def true_ms(self):
@@ -132,37 +138,39 @@
     # --- daemons
 
     def start(self, name):
-        c = dict(self.cards[name])
-        m = c.pop("machine")
-        node = Node(name=name, machine=m, loop=self.loop)
+        card = dict(self.cards[name])
+        machine = card.pop("machine")
+        node = Node(name=name, machine=machine, loop=self.loop)
         node.http = []
-        p = Params(
-            **c, **({"ring_files": 4, "snap_every": 60} if c["role"] == "almanac" else {}) | self.extra
+        settings = Params(
+            **card, **({"ring_files": 4, "snap_every": 60} if card["role"] == "almanac" else {}) | self.extra
         )
-        d = self.build[c["role"]](params=p, seam=SimSeam(world=self, node=node))
-        node.daemon, node.cost = d, self.step_s
+        daemon = self.build[card["role"]](params=settings, seam=SimSeam(world=self, node=node))
+        node.daemon, node.cost = daemon, self.step_s
         self.nodes[name] = node
-        node.run(self.up(node, d))
+        node.run(self.up(node, daemon))
 
-    async def up(self, node, d):
+    async def up(self, node, daemon):
+        """Runs a daemon until it ends."""
         try:
-            await d.start()
-            await d.ended.wait()
+            await daemon.start()
+            await daemon.ended.wait()
         finally:
             if node.alive:
                 self.end(node, silent=False)
 
     def start_all(self):
-        for n in self.cards:
-            self.start(n)
+        for name in self.cards:
+            self.start(name)
 
     def end(self, node, *, silent):
+        """Ends a process; its peers get no reset if `silent`, as after a power cut."""
         node.kill()
         self.graves.append(node)
         self.net.down(node, silent=silent)
-        for f in node.http:
-            if not f.done() and not silent:
-                f.set_result(Unsure(why="mast gone"))
+        for answer in node.http:
+            if not answer.done() and not silent:
+                answer.set_result(Unsure(why="mast gone"))
         if self.nodes.get(node.name) is node:
             del self.nodes[node.name]
 
@@ -171,7 +179,7 @@
             self.end(self.nodes[name], silent=False)
 
     def leave(self, name):
-        """SIGTERM: the daemon's own graceful end."""
+        """Stops a daemon gracefully, as SIGTERM does."""
         node = self.nodes[name]
 
         async def go():
@@ -182,13 +190,13 @@
         return node.run(go())
 
     def on_machine(self, machine):
-        return [n for n, x in self.nodes.items() if x.machine == machine]
+        return [name for name, node in self.nodes.items() if node.machine == machine]
 
     def power_off(self, machine):
-        """Everything on the machine is gone at once, and what was not synced with it."""
+        """Ends everything on a machine at once; data not synced may be lost. Returns the daemons' names."""
         names = self.on_machine(machine)
-        for n in names:
-            self.end(self.nodes[n], silent=True)
+        for name in names:
+            self.end(self.nodes[name], silent=True)
         self.net.dark.add(machine)
         if machine in self.disks:
             self.disks[machine].power_cut()
@@ -196,9 +204,9 @@
 
     def power_on(self, machine, names):
         self.net.dark.discard(machine)
-        for n in names:
-            if n not in self.nodes:
-                self.start(n)
+        for name in names:
+            if name not in self.nodes:
+                self.start(name)
 
     def pause(self, name, on=True, sockets_first=False):
         if name in self.nodes and on:
@@ -207,39 +215,48 @@
             self.nodes[name].wake(sockets_first=sockets_first)
 
     def who(self, role, part):
-        """The daemons of a role that believe to be `part`."""
-        out = []
-        for n, x in self.nodes.items():
-            if self.cards[n]["role"] == role and hasattr(x.daemon, "rank" if role == "almanac" else "part"):
-                v = x.daemon.rank if role == "almanac" else x.daemon.part
-                if v == part:
-                    out.append(n)
-        return out
+        """Names of the daemons of a role that consider themselves `part` (leader, primary)."""
+        names = []
+        for name, node in self.nodes.items():
+            if self.cards[name]["role"] == role and hasattr(
+                node.daemon, "rank" if role == "almanac" else "part"
+            ):
+                state = node.daemon.rank if role == "almanac" else node.daemon.part
+                if state == part:
+                    names.append(name)
+        return names
 
     async def watch(self):
-        """At no moment do two daemons that could act hold one duty, by their own looks."""
+        """Notes a violation whenever two running daemons both consider themselves primary or clock leader."""
         while True:
             await asyncio.sleep(0.02)
-            up = [x.daemon for x in self.nodes.values() if x.awake]
-            for duty, ds in (
-                ("primary", [d for d in up if d.role == "desk" and d.live()]),
-                ("clock", [d for d in up if d.role == "almanac" and d.clk and d.clock_live(d.clk)]),
+            running = [node.daemon for node in self.nodes.values() if node.awake]
+            for duty, daemons in (
+                ("primary", [daemon for daemon in running if daemon.role == "desk" and daemon.live()]),
+                (
+                    "clock",
+                    [
+                        daemon
+                        for daemon in running
+                        if daemon.role == "almanac" and daemon.clk and daemon.clock_live(daemon.clk)
+                    ],
+                ),
             ):
-                if len(ds) > 1:
-                    self.hist.note("both", duty=duty, ids=[d.params.id for d in ds])
+                if len(daemons) > 1:
+                    self.hist.note("both", duty=duty, ids=[daemon.params.id for daemon in daemons])
 
-    def run(self, co, *, limit=3600.0):
-        """Runs a scenario to its end, or to `limit` of virtual time."""
+    def run(self, coroutine, *, limit=3600.0):
+        """Runs a coroutine to its end, at most `limit` s of virtual time; its result. Ends the simulation."""
 
-        async def go():
-            return await asyncio.wait_for(co, limit)
+        async def with_limit():
+            return await asyncio.wait_for(coroutine, limit)
 
         asyncio.set_event_loop(self.loop)
         try:
-            return self.loop.run_until_complete(go())
+            return self.loop.run_until_complete(with_limit())
         finally:
-            for n in list(self.nodes.values()) + list(self.mate_nodes.values()):
-                n.kill()
-                self.graves.append(n)
+            for node in list(self.nodes.values()) + list(self.worker_nodes.values()):
+                node.kill()
+                self.graves.append(node)
             self.loop.over = True
             asyncio.set_event_loop(None)
