--- a/hollowhall/standins/__init__.py
+++ b/hollowhall/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Simulated workers, requesters and operators, shared by the simulation and the tools."""
+"""Simulated workers, clients and operators, shared by the simulation and the tools."""
--- a/hollowhall/standins/crowd.py
+++ b/hollowhall/standins/crowd.py
@@ -1,7 +1,7 @@
-"""Stand-in requesters and operators: the load generator. A requester names its job, sends
-it, sends it again under the same name when unsure or when told to come back, polls until
-it has ended, and sometimes cancels. Operators edit the charter, at times two at once.
-All that they saw goes into the history."""
+"""The load generator: simulated clients (requesters) and operators. A requester names its job and
+submits it, repeats that under the same name when the result is unknown or it was told to retry,
+polls until the job has ended, and sometimes cancels. Operators change the configuration, at
+times two at once. All that they observe goes into the history."""
 
 import asyncio
 
@@ -11,15 +11,17 @@
 
 
 def summary(figures, latency, seconds):
-    """The figures, with goodput and how long a send took until it was taken."""
-    ls = sorted(latency) or [0.0]
-    at = {
-        f"accept_ms_{n}": round(ls[min(len(ls) - 1, int(len(ls) * q))] * 1000, 1)
-        for n, q in (("median", 0.5), ("p99", 0.99), ("worst", 1.0))
+    """The figures with accepted and ended jobs per second and the time until a job was accepted."""
+    sorted_latency = sorted(latency) or [0.0]
+    latencies = {
+        f"accept_ms_{name}": round(
+            sorted_latency[min(len(sorted_latency) - 1, int(len(sorted_latency) * quantile))] * 1000, 1
+        )
+        for name, quantile in (("median", 0.5), ("p99", 0.99), ("worst", 1.0))
     }
     return (
         figures
-        | at
+        | latencies
         | {
             "taken_a_second": round(figures["accepted"] / seconds, 2),
             "ended_a_second": round(figures["ended"] / seconds, 2),
@@ -28,64 +30,68 @@
 
 
 class Requester:
+    """A client that submits jobs and follows them."""
+
     def __init__(self, *, masts, web, hist, rng, now, tag="r"):
         self.masts, self.web, self.hist, self.rng, self.now = masts, web, hist, rng, now
         self.n, self.tag, self.open, self.asks = 0, tag, {}, 0
         self.figures = {"accepted": 0, "refused": 0, "unsure": 0, "ended": 0, "given_up": 0}
-        self.latency, self.shots = [], 0.06  # part that sends once and never again
+        self.latency, self.shots = [], 0.06  # fraction of submissions that are not retried
 
-    async def ask(self, ev, method, path, data=None, wait=5.0, **note):
+    async def ask(self, event_kind, method, path, data=None, wait=5.0, **note):
         self.asks += 1
-        i = f"{self.tag}-{self.asks}"
+        request_id = f"{self.tag}-{self.asks}"
         if method != "GET":
-            self.hist.note(ev, id=i, **note)
-        at = round(self.hist.now(), 3)
-        o = await self.web.ask(
+            self.hist.note(event_kind, id=request_id, **note)
+        sent_at = round(self.hist.now(), 3)
+        response = await self.web.ask(
             method=method, addr=self.rng.choice(self.masts), path=path, body=data, wait=wait
         )
-        if isinstance(o, Failure):
-            self.hist.note(ev + ".out", id=i, status=0, taken=o.taken, **note)
-            return 0, {"taken": o.taken}, {}
-        st, v, h = o
-        d = {"status": st, "taken": v.get("taken", "yes") if isinstance(v, dict) else "yes"}
-        for a in ("new", "state", "version", "rows", "tasks", "why", "name"):
-            if isinstance(v, dict) and a in v and a not in note:
-                d[a] = v[a]
-        self.hist.note(ev + ".out", id=i, at=at, **(d | note))
-        return st, v, h
+        if isinstance(response, Failure):
+            self.hist.note(event_kind + ".out", id=request_id, status=0, taken=response.taken, **note)
+            return 0, {"taken": response.taken}, {}
+        status, body, response_headers = response
+        row = {"status": status, "taken": body.get("taken", "yes") if isinstance(body, dict) else "yes"}
+        for field in ("new", "state", "version", "rows", "tasks", "why", "name"):
+            if isinstance(body, dict) and field in body and field not in note:
+                row[field] = body[field]
+        self.hist.note(event_kind + ".out", id=request_id, at=sent_at, **(row | note))
+        return status, body, response_headers
 
     async def send(self, *, body, name=None, tries=40):
-        """Sends a job until it is known to be taken or refused; its state, or None."""
+        """Submits a job until it is known to be accepted or refused; its name if accepted, else None."""
         if name is None:
             self.n += 1
             name = f"{self.tag}-{self.n}"
-        t0 = self.now()
+        started = self.now()
         for _ in range(tries):
-            st, v, h = await self.ask("put", "PUT", f"/v1/jobs/{name}", body, name=name, body=body)
-            if st in (200, 201):
+            status, _answer, headers = await self.ask(
+                "put", "PUT", f"/v1/jobs/{name}", body, name=name, body=body
+            )
+            if status in (200, 201):
                 self.figures["accepted"] += 1
-                self.latency.append(self.now() - t0)
+                self.latency.append(self.now() - started)
                 return name
-            if st in (400, 404, 409, 410, 413, 415, 422):
+            if status in (400, 404, 409, 410, 413, 415, 422):
                 self.figures["refused"] += 1
                 return None
             self.figures["unsure"] += 1
-            gap = float(h.get("Retry-After", 0.2)) if h else 0.2
-            await asyncio.sleep(gap * (0.5 + self.rng.random()))
+            pause = float(headers.get("Retry-After", 0.2)) if headers else 0.2
+            await asyncio.sleep(pause * (0.5 + self.rng.random()))
         self.figures["given_up"] += 1
         return None
 
     async def follow(self, name, *, until, gap=0.3):
-        """Polls until the job has ended; its last state."""
+        """Polls until the job has ended or `until`; the last state seen."""
         state = ""
         while self.now() < until:
-            st, v, h = await self.ask("get", "GET", f"/v1/jobs/{name}", name=name)
-            if st == 200:
-                state = v["state"]
+            status, answer, headers = await self.ask("get", "GET", f"/v1/jobs/{name}", name=name)
+            if status == 200:
+                state = answer["state"]
                 if state in ("done", "failed", "cancelled"):
                     self.figures["ended"] += 1
                     return state
-            again = float(h.get("Retry-After", gap)) if h else gap
+            again = float(headers.get("Retry-After", gap)) if headers else gap
             await asyncio.sleep(max(gap, again) * (0.7 + 0.6 * self.rng.random()))
         return state
 
@@ -94,18 +100,19 @@
 
     async def cancel(self, name, tries=40):
         for _ in range(tries):
-            st, v, h = await self.ask("cancel", "DELETE", f"/v1/jobs/{name}", name=name)
-            if st in (200, 404, 410):
-                return st
+            status, _answer, _headers = await self.ask("cancel", "DELETE", f"/v1/jobs/{name}", name=name)
+            if status in (200, 404, 410):
+                return status
             await asyncio.sleep(0.2)
         return 0
 
     async def one(self, *, body, until, cancel=False, tries=None):
-        # some are told no, or hear nothing, and leave it at that
+        """Submits a job and follows it to its end; sometimes repeats or cancels it."""
+        # some clients give up after one attempt that was refused or not answered
         name = await self.send(body=body, tries=tries or (1 if self.rng.random() < self.shots else 40))
         if name is None:
             return
-        if self.rng.random() < 0.1:  # unsure after all, so sent again
+        if self.rng.random() < 0.1:  # repeats an accepted submission, as a client that missed the answer does
             await asyncio.sleep(self.rng.random() * 2)
             await self.send(body=body, name=name, tries=5)
         if cancel or body.get("standing"):
@@ -115,14 +122,14 @@
         await self.follow(name, until=until)
 
     async def run(self, *, mix, seconds, times=1.0, settle=20.0, cancels=0.05):
-        """Sends a mix for a while, then lets what was taken end."""
+        """Submits jobs of a mix for `seconds`, then waits at most `settle` s for accepted jobs to end."""
         end, jobs = self.now() + seconds, []
         total = sum(r for _, r in mix) * times
         while self.now() < end:
-            x = self.rng.random() * total / times
-            for make, rate in mix:  # noqa: B007 (used behind the loop)
-                x -= rate
-                if x <= 0:
+            point = self.rng.random() * total / times
+            for make, rate in mix:  # noqa: B007 (used after the loop)
+                point -= rate
+                if point <= 0:
                     break
             jobs.append(
                 asyncio.ensure_future(
@@ -134,12 +141,16 @@
 
 
 class Operator(Requester):
+    """An operator that changes the configuration, reservations and members."""
+
     async def read(self):
-        st, v, _ = await self.ask("charter", "GET", "/v1/charter")
-        return v if st == 200 else None
+        """The configuration, or None."""
+        status, configuration, _ = await self.ask("charter", "GET", "/v1/charter")
+        return configuration if status == 200 else None
 
     async def edit(self, *, base, rows, whole=False):
-        st, v, _ = await self.ask(
+        """Changes rows of version `base`, or all rows if `whole`: (status, answer)."""
+        status, answer, _ = await self.ask(
             "edit",
             "PUT" if whole else "PATCH",
             "/v1/charter",
@@ -148,10 +159,10 @@
             rows=rows,
             whole=whole,
         )
-        return st, v
+        return status, answer
 
     async def reserve(self, *, name, body, tries=40):
-        """Sends a reservation until it is known to be confirmed or refused: (status, answer)."""
+        """Submits a reservation until it is known to be confirmed or refused: (status, answer)."""
         return await self.reserving("reserve", "PUT", name, body, tries)
 
     async def release(self, name, tries=40):
@@ -163,52 +174,58 @@
     async def reservation(self, name):
         return await self.ask("reservation", "GET", f"/v1/reservations/{name}", name=name)
 
-    async def reserving(self, ev, method, name, body, tries):
-        st, v = 0, {}
+    async def reserving(self, event_kind, method, name, body, tries):
+        status, answer = 0, {}
         for _ in range(tries):
-            st, v, h = await self.ask(ev, method, f"/v1/reservations/{name}", body, name=name, body=body)
-            if 200 <= st < 500 and st != 429:
+            status, answer, headers = await self.ask(
+                event_kind, method, f"/v1/reservations/{name}", body, name=name, body=body
+            )
+            if 200 <= status < 500 and status != 429:
                 break
-            await asyncio.sleep(float(h.get("Retry-After", 0.2)) if h else 0.2)
-        return st, v
+            await asyncio.sleep(float(headers.get("Retry-After", 0.2)) if headers else 0.2)
+        return status, answer
 
     async def gone(self, worker):
-        """Says that a worker is gone; a worker that is heard keeps that from being so."""
-        st, _, _ = await self.ask("gone_said", "POST", f"/v1/workers/{worker}/gone", {}, w=worker)
-        return st
+        """Reports a worker as gone; refused while the worker still sends heartbeats. The HTTP status."""
+        status, _, _ = await self.ask("gone_said", "POST", f"/v1/workers/{worker}/gone", {}, w=worker)
+        return status
 
     async def replace(self, old, new):
-        """Wants one member of the store replaced; the members as they now stand."""
-        st, v, _ = await self.ask("members", "GET", "/v1/members")
-        if st == 200 and new not in (*v["voters"], v["learner"]) and old in v["voters"]:
+        """Requests that one store member is replaced; the membership as read before, or None."""
+        status, membership, _ = await self.ask("members", "GET", "/v1/members")
+        if (
+            status == 200
+            and new not in (*membership["voters"], membership["learner"])
+            and old in membership["voters"]
+        ):
             await self.ask(
                 "change",
                 "POST",
                 "/v1/members",
-                {"base": v["version"], "do": "replace", "addr": old, "by": new},
+                {"base": membership["version"], "do": "replace", "addr": old, "by": new},
             )
-        return v if st == 200 else None
+        return membership if status == 200 else None
 
     async def found(self, *, lanes):
-        """Writes the first whole table, however long the fleet takes to come up."""
+        """Writes the first configuration, retrying while the fleet starts; None after 200 attempts."""
         for _ in range(200):
-            c = await self.read()
-            if c is not None and c["rows"].keys() >= lanes.keys():
-                return c
-            if c is not None:
-                await self.edit(base=c["version"], rows=lanes, whole=True)
+            configuration = await self.read()
+            if configuration is not None and configuration["rows"].keys() >= lanes.keys():
+                return configuration
+            if configuration is not None:
+                await self.edit(base=configuration["version"], rows=lanes, whole=True)
             await asyncio.sleep(0.2)
         return None
 
     async def tinker(self, *, lanes, seconds, gap=2.0):
-        """Edits a row now and then, on the version last read."""
+        """Changes a random row every `gap` s or so, based on the version last read."""
         end = self.now() + seconds
         while self.now() < end:
             await asyncio.sleep(gap * (0.5 + self.rng.random()))
-            c = await self.read()
-            if c is None:
+            configuration = await self.read()
+            if configuration is None:
                 continue
-            a = self.rng.choice(sorted(lanes))
-            row = dict(c["rows"].get(a) or lanes[a])
+            queue = self.rng.choice(sorted(lanes))
+            row = dict(configuration["rows"].get(queue) or lanes[queue])
             row["weight"] = round(0.5 + self.rng.random() * 5, 2)
-            await self.edit(base=c["version"], rows={a: row})
+            await self.edit(base=configuration["version"], rows={queue: row})
--- a/hollowhall/standins/history.py
+++ b/hollowhall/standins/history.py
@@ -1,49 +1,49 @@
-"""The history: the log of what requesters, workers and operators saw, in memory or as a
-file of one JSON object a line; the checker judges it."""
+"""The history: a log of what clients, workers and operators observed, in memory or as a file with
+one JSON object per line. The checker judges it."""
 
 import json
 import time
 
 
 class History:
-    """What requesters, workers and operators saw, one JSON object a line."""
+    """A history in memory, or appended to the file at `path`. `now` gives the time in ms."""
 
     def __init__(self, *, path=None, now=None):
-        self.f = open(path, "a", buffering=1) if path else None
+        self.file = open(path, "a", buffering=1) if path else None
         self.rows, self.now = [], now or (lambda: time.time() * 1000)
 
-    def note(self, ev, **d):
-        row = {"t": round(self.now(), 3), "ev": ev, **d}
-        if self.f:
-            self.f.write(json.dumps(row) + "\n")
+    def note(self, event_kind, **fields):
+        row = {"t": round(self.now(), 3), "ev": event_kind, **fields}
+        if self.file:
+            self.file.write(json.dumps(row) + "\n")
         else:
             self.rows.append(row)
         return row
 
 
 def read(paths):
-    """Rows of several history files, by time, each knowing its file and line. A line that
-    is no row becomes one of its own kind for the checker to list; only a torn last line,
-    of a writer that was killed, is left out."""
-    out = []
-    for p in paths:
-        t = 0.0
-        with open(p, errors="replace") as f:
-            for n, line in enumerate(f, 1):
+    """Rows of several history files, sorted by time, each with its file and line. A line that is not
+    a row becomes a row of kind `unreadable`, which the checker lists. Only a torn last line, of a
+    writer that was killed, is left out."""
+    rows = []
+    for path in paths:
+        time_of_row = 0.0
+        with open(path, errors="replace") as file:
+            for number, line in enumerate(file, 1):
                 try:
-                    r = json.loads(line)
+                    row = json.loads(line)
                 except ValueError:
-                    r = None
+                    row = None
                     if not line.endswith("\n"):
                         continue
                 if (
-                    not isinstance(r, dict)
-                    or not isinstance(r.get("ev"), str)
-                    or isinstance(r.get("t"), bool)
-                    or not isinstance(r.get("t"), (int, float))
+                    not isinstance(row, dict)
+                    or not isinstance(row.get("ev"), str)
+                    or isinstance(row.get("t"), bool)
+                    or not isinstance(row.get("t"), (int, float))
                 ):
-                    r = {"t": t, "ev": "unreadable", "line": line.strip()[:80]}
-                t = r["t"]
-                out.append(r | {"_at": f"{p}:{n}"})
-    out.sort(key=lambda r: r["t"])
-    return out
+                    row = {"t": time_of_row, "ev": "unreadable", "line": line.strip()[:80]}
+                time_of_row = row["t"]
+                rows.append(row | {"_at": f"{path}:{number}"})
+    rows.sort(key=lambda row: row["t"])
+    return rows
--- a/hollowhall/standins/http_client.py
+++ b/hollowhall/standins/http_client.py
@@ -1,6 +1,6 @@
-"""The HTTP client of the stand-ins and of the operators' commands: one Web object asks
-masts and says plainly what it knows. An answer is (status, body, headers); no answer
-is a Problem whose `taken` says whether the ask may have arrived."""
+"""The HTTP client of the simulated workers and clients and of the operators' commands. An answer is
+(status, body, headers); without one the result is a Failure, whose `taken` says whether the
+request may have arrived."""
 
 import aiohttp
 
@@ -8,23 +8,24 @@
 
 
 class Web:
+    """An HTTP client with at most `most` connections, which stay open between requests."""
+
     def __init__(self, *, most=512):
-        self.s, self.most = None, most
+        self.session, self.most = None, most
 
     async def ask(self, *, method, addr, path, body=None, wait=5.0, headers=None):
-        """One request; its answer, or the Problem that took its place. Connections stay open
-        from one to the next, until the other side ends them."""
-        if self.s is None:
-            self.s = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=self.most))
+        """Sends one request; its answer or a Failure."""
+        if self.session is None:
+            self.session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=self.most))
         try:
-            async with self.s.request(
+            async with self.session.request(
                 method,
                 f"http://{addr}{path}",
                 json=body,
                 headers=headers,
                 timeout=aiohttp.ClientTimeout(total=wait),
-            ) as r:
-                return r.status, await r.json(content_type=None), dict(r.headers)
+            ) as response:
+                return response.status, await response.json(content_type=None), dict(response.headers)
         except aiohttp.ClientConnectorError:
             return CircuitDown(addr=addr)
         except TimeoutError:
@@ -33,5 +34,5 @@
             return Unsure(why="circuit")
 
     async def close(self):
-        if self.s is not None:
-            await self.s.close()
+        if self.session is not None:
+            await self.session.close()
--- a/hollowhall/standins/shapes.py
+++ b/hollowhall/standins/shapes.py
@@ -1,37 +1,40 @@
-"""The two deployments of today, in numbers: daemons, workers, lanes, and the mix
-of jobs that their callers send."""
+"""The two existing deployments in numbers: daemons, workers, queues, and the mix of jobs that
+their clients submit."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(kw_only=True)
 class Shape:
+    """A deployment."""
+
     name: str
     zones: int
     masts: int
-    workers: list  # (kind, how many, cores, memMb, gpus)
+    workers: list  # (kind, count, cores, memMb, gpus)
     lanes: dict
-    mix: list = field(default_factory=list)  # (what, how many a second)
+    mix: list = field(default_factory=list)  # (function that makes a job body, jobs per second)
 
 
-def room(c, m=0, g=0):
-    return {"cores": c, "memMb": m, "gpus": g}
+def room(cores, mem_mb=0, gpus=0):
+    return {"cores": cores, "memMb": mem_mb, "gpus": gpus}
 
 
-def step(name, kind, ms, **kw):
-    d = {"name": name, "kind": kind, "work": {"ms": ms, "flop": kw.pop("flop", 0)}}
-    d["room"] = kw.pop("room", room(1, 512))
-    return d | kw
+def step(name, kind, ms, **more):
+    """A step whose tasks sleep for `ms` and fail at the rate `flop`; other keywords are its fields."""
+    row = {"name": name, "kind": kind, "work": {"ms": ms, "flop": more.pop("flop", 0)}}
+    row["room"] = more.pop("room", room(1, 512))
+    return row | more
 
 
-def tile_cut(r):
+def tile_cut(rng):
     return {
         "lane": "tiles",
-        "steps": [step("cut", "tile", 200 + r.randrange(600), tasks=r.randint(1, 6), room=room(2, 2048))],
+        "steps": [step("cut", "tile", 200 + rng.randrange(600), tasks=rng.randint(1, 6), room=room(2, 2048))],
     }
 
 
-def hail(r):
+def hail(rng):
     return {
         "lane": "hail",
         "steps": [
@@ -39,7 +42,7 @@
             step(
                 "classify",
                 "nowcast",
-                500 + r.randrange(1000),
+                500 + rng.randrange(1000),
                 after=["fetch"],
                 tasks=2,
                 room=room(8, 16384, 1),
@@ -50,22 +53,22 @@
     }
 
 
-def cells(r):
+def cells(rng):
     return {
         "lane": "cells",
         "steps": [
-            step("track", "nowcast", 300 + r.randrange(500), room=room(4, 8192, 1), flop=0.03),
+            step("track", "nowcast", 300 + rng.randrange(500), room=room(4, 8192, 1), flop=0.03),
             step("plot", "tile", 200, after=["track"]),
         ],
     }
 
 
-def composite(r):
-    n = 12 + r.randrange(24)
+def composite(rng):
+    tasks = 12 + rng.randrange(24)
     return {
         "lane": "composites",
         "steps": [
-            step("gather", "tile", 300, tasks=n, room=room(2, 2048), spread={"perWorker": 4}),
+            step("gather", "tile", 300, tasks=tasks, room=room(2, 2048), spread={"perWorker": 4}),
             step(
                 "blend", "tile", 900, after=["gather"], tasks=2, room=room(16, 32768), spread={"perRack": 1}
             ),
@@ -75,7 +78,9 @@
 
 
 def watcher(lane, kind):
-    def make(r):
+    """Makes jobs that run until they are cancelled."""
+
+    def make(rng):
         return {
             "lane": lane,
             "standing": True,
@@ -85,14 +90,16 @@
     return make
 
 
-def lookup(r):
+def lookup(rng):
     return {
         "lane": "lookups",
-        "steps": [step("match", "segment", 80 + r.randrange(250), tasks=r.randint(1, 3), room=room(1, 1024))],
+        "steps": [
+            step("match", "segment", 80 + rng.randrange(250), tasks=rng.randint(1, 3), room=room(1, 1024))
+        ],
     }
 
 
-def glossary(r):
+def glossary(rng):
     return {
         "lane": "glossary",
         "steps": [
@@ -100,7 +107,7 @@
             step(
                 "align",
                 "segment",
-                200 + r.randrange(400),
+                200 + rng.randrange(400),
                 after=["split"],
                 tasks=3,
                 spread={"perWorker": 1},
@@ -110,7 +117,7 @@
     }
 
 
-def pretranslate(r):
+def pretranslate(rng):
     return {
         "lane": "pretranslate",
         "steps": [
@@ -118,9 +125,9 @@
             step(
                 "decode",
                 "neural",
-                700 + r.randrange(1200),
+                700 + rng.randrange(1200),
                 after=["load"],
-                tasks=r.randint(1, 4),
+                tasks=rng.randint(1, 4),
                 room=room(12, 32768, 1),
                 flop=0.04,
             ),
@@ -128,7 +135,7 @@
     }
 
 
-def merge(r):
+def merge(rng):
     return {
         "lane": "merges",
         "steps": [
@@ -175,14 +182,22 @@
     ],
 )
 
-SHAPES = {s.name: s for s in (CYMYLAU, MEMORIA)}
+SHAPES = {shape.name: shape for shape in (CYMYLAU, MEMORIA)}
 
 
 def crew_of(shape):
     """Every worker of a shape: (id, kind, zone, rack, room)."""
-    out = []
-    for kind, n, c, m, g in shape.workers:
-        for i in range(n):
-            z = f"z{i % shape.zones + 1}"
-            out.append((f"{kind}-{i + 1:02d}", kind, z, f"{z}-r{i // shape.zones % 3 + 1}", room(c, m, g)))
-    return out
+    workers = []
+    for kind, count, cores, mem_mb, gpus in shape.workers:
+        for i in range(count):
+            zone = f"z{i % shape.zones + 1}"
+            workers.append(
+                (
+                    f"{kind}-{i + 1:02d}",
+                    kind,
+                    zone,
+                    f"{zone}-r{i // shape.zones % 3 + 1}",
+                    room(cores, mem_mb, gpus),
+                )
+            )
+    return workers
