--- a/tests/platform_machines.py
+++ b/tests/platform_machines.py
@@ -1,21 +1,22 @@
-"""What is done to the machines of a PlatformWorld, noted for the checker: kills, freezes, cuts, SIGTERM."""
+"""Faults of machines of a PlatformWorld, noted for the checker: kills, freezes, cuts, SIGTERM."""
 
 import asyncio
 
-AGAIN = 0.5  # s; a process that ended or was killed is started again after this
+AGAIN = 0.5  # s; delay until a process that ended or was killed is started again
 
 
 class MachineTroubles:
-    """Troubles of single machines, for a World."""
+    """Faults of single machines, mixed into a World."""
 
-    def trouble(self, what, name, **d):
+    def trouble(self, what, name, **details):
+        """Notes the start of a fault; the id that its end has to be noted with."""
         self.lives[name] = self.lives.get(name, 0) + 1
-        i = f"{name}/{self.lives[name]}"
-        self.hist.note("trouble", what=what, m=name, id=i, **d)
-        return i
+        trouble = f"{name}/{self.lives[name]}"
+        self.hist.note("trouble", what=what, m=name, id=trouble, **details)
+        return trouble
 
     async def kill_and_start(self, name, *, power=False):
-        i = self.trouble("kill", name)
+        trouble = self.trouble("kill", name)
         if power:
             self.power_off(name)
         else:
@@ -23,30 +24,32 @@
         await asyncio.sleep(AGAIN)
         self.net.dark.discard(name)
         self.start(name)
-        self.hist.note("calm", id=i)
+        self.hist.note("calm", id=trouble)
 
     async def freeze(self, name, seconds):
-        i = self.trouble("freeze", name)
+        trouble = self.trouble("freeze", name)
         self.pause(name)
         await asyncio.sleep(seconds)
         self.pause(name, on=False)
-        self.hist.note("calm", id=i)
+        self.hist.note("calm", id=trouble)
 
     async def cut_off(self, name, seconds):
-        """Off from every other machine and from the workers."""
-        others = [n for n in self.cards if n != name] + ["w-" + i for i in self.s.workers]
-        for n in others:
-            self.net.cut(name, n)
-            self.hist.note("cut", id=f"{name}-{n}-{self.loop.vt}", a=name, b=n)
-        ids = [f"{name}-{n}-{self.loop.vt}" for n in others]
+        """Cuts a machine off from all other machines and from the workers."""
+        others = [other for other in self.cards if other != name] + [
+            "w-" + worker_id for worker_id in self.s.workers
+        ]
+        for other in others:
+            self.net.cut(name, other)
+            self.hist.note("cut", id=f"{name}-{other}-{self.loop.vt}", a=name, b=other)
+        ids = [f"{name}-{other}-{self.loop.vt}" for other in others]
         await asyncio.sleep(seconds)
         self.net.heal()
-        for i in ids:
-            self.hist.note("healed", id=i)
+        for cut_id in ids:
+            self.hist.note("healed", id=cut_id)
 
     async def roll(self, name):
-        """SIGTERM as the adapter's program takes it, and the start after it."""
-        i, node = self.trouble("term", name), self.nodes[name]
+        """Stops a process gracefully, as the adapter's program does on SIGTERM, and starts it again."""
+        trouble, node = self.trouble("term", name), self.nodes[name]
 
         async def leave():
             try:
@@ -63,4 +66,4 @@
             self.kill(name)
         await asyncio.sleep(AGAIN)
         self.start(name)
-        self.hist.note("calm", id=i)
+        self.hist.note("calm", id=trouble)
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -1,12 +1,12 @@
-"""The real daemons behind the platform's adapter, in one seeded simulation: a World whose
-machines run the programs that `platform/serve.py` makes of a settings file, with the stand-ins
-of the platform in front of them. What is done to a machine is noted for the checker."""
+"""The real daemons behind the platform's adapter in one seeded simulation: a World whose machines
+run the programs that `platform/serve.py` makes from a settings file, with the simulated platform
+in front of them. Faults of machines are noted for the checker."""
 
 import asyncio
 import pathlib
 import sys
 
-from platform_machines import AGAIN, MachineTroubles  # noqa: F401 (AGAIN: given on)
+from platform_machines import AGAIN, MachineTroubles  # noqa: F401 (AGAIN: imported by other tests)
 from platform_standins import config as F
 from platform_standins.bounds import Bounds
 from platform_standins.clients import Queue
@@ -25,22 +25,26 @@
 
 PORTS = {"control": 8144, "front": 8149, "readiness": 8141}
 INNER = (7380, 7395)
-START = 12.0  # s; from the start of the machines to that of the traffic
+START = 12.0  # s; from the start of the machines to the start of the traffic
 QUEUE = Queue(host="h.example", prefix="/q/")
 URGENT = Queue(host="h.example", prefix="/urgent/")
 
 
 def table(revision=3, tenants=None, **more):
-    rs = [
+    routes = [
         F.route("r-q", host=QUEUE.host, prefix=QUEUE.prefix, service="tiles", priority=1),
         F.route("r-u", host=URGENT.host, prefix=URGENT.prefix, service="tiles", priority=0),
     ]
-    rs += [F.route(n, host="h.example", prefix=p, service="tiles") for n, p in more.items()]
+    routes += [
+        F.route(name, host="h.example", prefix=prefix, service="tiles") for name, prefix in more.items()
+    ]
     services = [F.service("tiles", guards=False)]
-    return F.whole(revision=revision, routes=rs, services=services, tenants=tenants)
+    return F.whole(revision=revision, routes=routes, services=services, tenants=tenants)
 
 
 class PlatformWorld(MachineTroubles, World):
+    """A fleet of controllers (`cores`), gateways (`edges`) and workers behind the adapter."""
+
     def __init__(
         self,
         *,
@@ -70,9 +74,9 @@
         self.tenants = tenants  # rows of the first configuration; None for one without
 
     def add_machine(self, role, name, ip, *, zone, first=True):
-        hall, addr = role == "hall", lambda x: f"{ip}:{PORTS[x]}"
-        doors = ["control"] if hall else ["front", "readiness"]
-        b = self.bounds
+        hall, addr = role == "hall", lambda kind: f"{ip}:{PORTS[kind]}"
+        listeners = ["control"] if hall else ["front", "readiness"]
+        bounds = self.bounds
         self.settings[name] = {
             "nodeName": name,
             "ip": ip,
@@ -82,23 +86,23 @@
             "bootstrap": first,
             "quorumMember": hall,
             "dataDir": "/d" if hall else "",
-            "listenAddrs": {x: addr(x) for x in doors},
+            "listenAddrs": {kind: addr(kind) for kind in listeners},
             "limits": {"diskMb": 128 if hall else 0, "memoryMb": 296},
             "bounds": {
-                "holdMaxMs": b.hold_max_ms,
-                "spreadFactor": b.spread_factor,
-                "graceS": b.grace_s,
-                "stopTimeoutMs": b.stop_timeout_ms,
-                "gangTimeoutMs": b.gang_timeout_ms,
+                "holdMaxMs": bounds.hold_max_ms,
+                "spreadFactor": bounds.spread_factor,
+                "graceS": bounds.grace_s,
+                "stopTimeoutMs": bounds.stop_timeout_ms,
+                "gangTimeoutMs": bounds.gang_timeout_ms,
             },
         }
         self.cards[name] = {"role": role, "machine": name}
-        for a in (f"{ip}:{INNER[0]}", f"{ip}:{INNER[0] + 1}", *map(addr, doors)):
-            self.net.home[a] = name
+        for address in (f"{ip}:{INNER[0]}", f"{ip}:{INNER[0] + 1}", *map(addr, listeners)):
+            self.net.home[address] = name
         self.bases.setdefault(name, self.rng.random() * 1e4)
         self.hist.note("machine", m=name, core=hall)
-        for x in doors:
-            self.hist.note("daemon", addr=addr(x), m=name)
+        for kind in listeners:
+            self.hist.note("daemon", addr=addr(kind), m=name)
         if hall:
             self.disks[name] = SimDisk(rng=self.s.draw())
             self.s.controls.append(addr("control"))
@@ -110,37 +114,39 @@
     def start(self, name):
         node = Node(name=name, machine=name, loop=self.loop)
         node.http, node.cost = [], self.step_s
-        d = boot.SETTINGS.load(self.settings[name])
-        x, doors = serve.make(role=self.cards[name]["role"], d=d, seam=SimSeam(world=self, node=node))
-        node.daemon, self.nodes[name] = x, node
+        settings = boot.SETTINGS.load(self.settings[name])
+        daemon, listeners = serve.make(
+            role=self.cards[name]["role"], d=settings, seam=SimSeam(world=self, node=node)
+        )
+        node.daemon, self.nodes[name] = daemon, node
         self.settings[name]["bootstrap"] = False
-        node.run(self.live(node, x, doors))
+        node.run(self.live(node, daemon, listeners))
 
-    async def live(self, node, x, doors):
+    async def live(self, node, daemon, listeners):
         try:
-            await x.start()
-            for d in doors:
-                await d.open()
-            await x.ended.wait()
+            await daemon.start()
+            for listener in listeners:
+                await listener.open()
+            await daemon.ended.wait()
         finally:
             if node.alive:
                 self.end(node, silent=False)
 
     def primary(self):
-        """The core machine that decides, by its own look."""
+        """The core machine whose scheduler considers itself primary, or an empty string."""
         return next(
             (
-                n
-                for n, x in self.nodes.items()
-                if x.awake and hasattr(x.daemon, "desk") and x.daemon.desk.live()
+                name
+                for name, node in self.nodes.items()
+                if node.awake and hasattr(node.daemon, "desk") and node.daemon.desk.live()
             ),
             "",
         )
 
     # --- a day
 
-    def add_workers(self, n):
-        for i in range(n):
+    def add_workers(self, count):
+        for i in range(count):
             self.s.add_worker(
                 f"i-{i:04x}",
                 zone=f"z{i % 3 + 1}",
@@ -151,47 +157,51 @@
                 pace=(0.98, 1.0, 1.01)[i % 3],
             )
 
-    def key_of(self, op, n):
-        """What gives the n-th client its key: one that its tenant has as far as the operator knows."""
+    def key_of(self, operator, index):
+        """A function that gives client number `index` a key that its tenant has as far as the operator knows."""
         if self.tenants is None:
             return None
-        name, kept = self.tenants[n % len(self.tenants)]["name"], []
+        name, last_keys = self.tenants[index % len(self.tenants)]["name"], []
 
         def key():
-            kept[:] = F.keys_of(op.config, name) or kept  # of a tenant that has gone, its last
-            return kept[-1]
+            # the last key known remains in use when the tenant was removed
+            last_keys[:] = F.keys_of(operator.config, name) or last_keys
+            return last_keys[-1]
 
         return key
 
     async def day(self, *, mix, rate=2.0, seconds=15.0, faults=None, settle=15.0):
-        """One day of traffic with what `faults` does in it; the operator and the clients."""
-        s, t0 = self.s, self.loop.vt
+        """Runs a day of traffic and the coroutine `faults` meanwhile; the operator and the clients."""
+        stage, started = self.s, self.loop.vt
         self.add_workers(self.first)
         self.start_all()
-        watch = asyncio.ensure_future(s.balancer.watch())
-        op = s.operator("op")
+        watch = asyncio.ensure_future(stage.balancer.watch())
+        operator = stage.operator("op")
         await asyncio.sleep(1.0)
-        assert await op.put(table(tenants=self.tenants), limit=START)
-        await asyncio.sleep(max(0.0, t0 + START - self.loop.vt))
-        cs = [
-            s.client(f"c{n}", zone=f"z{n + 1}", queue=q, key=self.key_of(op, n))
-            for n, q in enumerate((QUEUE, QUEUE, URGENT))
+        assert await operator.put(table(tenants=self.tenants), limit=START)
+        await asyncio.sleep(max(0.0, started + START - self.loop.vt))
+        clients = [
+            stage.client(f"c{index}", zone=f"z{index + 1}", queue=queue, key=self.key_of(operator, index))
+            for index, queue in enumerate((QUEUE, QUEUE, URGENT))
         ]
-        bad = asyncio.ensure_future(faults(self, op, cs)) if faults else None
+        faults_run = asyncio.ensure_future(faults(self, operator, clients)) if faults else None
         await asyncio.gather(
-            *(c.run(mix=mix, rate=rate / len(cs), seconds=seconds, settle=settle) for c in cs)
+            *(
+                client.run(mix=mix, rate=rate / len(clients), seconds=seconds, settle=settle)
+                for client in clients
+            )
         )
-        if bad is not None:
-            await bad
-        s.hist.note("finish")
+        if faults_run is not None:
+            await faults_run
+        stage.hist.note("finish")
         await asyncio.sleep(self.bounds.finish_s)
-        await asyncio.gather(*(c.ask_all() for c in cs))
-        await op.read_back()
+        await asyncio.gather(*(client.ask_all() for client in clients))
+        await operator.read_back()
         watch.cancel()
-        return op, cs
+        return operator, clients
 
     def play(self, **kw):
-        """Plays a day; (violations, final states by job)."""
+        """Runs `day`; (violations, final states by job)."""
 
         async def go():
             return await self.day(**kw)
@@ -199,9 +209,11 @@
         try:
             self.run(go(), limit=400.0)
         finally:
-            for n in self.s.nodes.values():
-                n.kill()
-        bad = judge(self.hist.rows, bounds=self.bounds)
-        return bad, {
-            r["job"]: r.get("state") for r in self.s.rows("state_out", final=True) if r["status"] == 200
+            for node in self.s.nodes.values():
+                node.kill()
+        violations = judge(self.hist.rows, bounds=self.bounds)
+        return violations, {
+            row["job"]: row.get("state")
+            for row in self.s.rows("state_out", final=True)
+            if row["status"] == 200
         }
--- a/tests/test_platform_world.py
+++ b/tests/test_platform_world.py
@@ -1,11 +1,11 @@
-"""The real daemons behind the platform's adapter, under the platform's stand-ins and faults:
-no rule breaks, and what was accepted ends. Then the adapter with one thing broken at a time:
-the checker sees it through the whole path. `PYTHONPATH=. python tests/test_platform_world.py
-FIRST-LAST [--rate N] [fault ...]` plays more seeds and tells of those with a violation."""
+"""The real daemons behind the platform's adapter, under simulated traffic and faults: no rule is
+violated, and accepted jobs end. Then one fault at a time is put into the adapter, and the checker
+must find it through the whole path. `PYTHONPATH=. python tests/test_platform_world.py
+FIRST-LAST [--rate N] [fault ...]` runs more seeds and prints those with a violation."""
 
 import sys
 
-import control  # the adapter's, found by way of platform_world
+import control  # of the adapter; platform_world adds its folder to sys.path
 import front
 import pytest
 from platform_faults import FAULTS, cancels, evacuation, nothing, play, workers_cut_off, workers_leave
@@ -14,11 +14,11 @@
 from platform_world import boot
 
 
-@pytest.mark.parametrize("faults", FAULTS, ids=[f.__name__ for f in FAULTS])
+@pytest.mark.parametrize("faults", FAULTS, ids=[faults.__name__ for faults in FAULTS])
 def test_no_rule_breaks_and_what_was_accepted_ends(faults):
-    w, bad, states = play(seed=11 + FAULTS.index(faults), faults=faults)
-    assert bad == [] and w.loop.complaints == []
-    ended = sum(x in ("complete", "failed", "cancelled") for x in states.values())
+    world, violations, states = play(seed=11 + FAULTS.index(faults), faults=faults)
+    assert violations == [] and world.loop.complaints == []
+    ended = sum(state in ("complete", "failed", "cancelled") for state in states.values())
     assert len(states) > 30 and ended >= 0.9 * len(states)
 
 
@@ -28,66 +28,68 @@
 PARAMS_OF, TAKE, WHOLE = boot.params_of, front.Front.take, control.whole_config
 
 
-def reported(m, **change):
-    """Beats say something else about their worker."""
-    m.setattr(
+def reported(monkeypatch, **change):
+    """Heartbeats report changed fields of their worker."""
+    monkeypatch.setattr(
         control.Control,
         "report",
         lambda self, d, i: REPORT(self, d, i) | {k: f(d) for k, f in change.items()},
     )
 
 
-def job_without(m, **change):
+def job_without(monkeypatch, **change):
     def job_of(*, body, lane, row):
-        d = JOB_OF(body=body, lane=lane, row=row)
-        d["steps"] = [
-            {k: v for k, v in s.items() if k not in change}
+        job = JOB_OF(body=body, lane=lane, row=row)
+        job["steps"] = [
+            {k: v for k, v in step.items() if k not in change}
             | {k: v for k, v in change.items() if v is not None}
-            for s in d["steps"]
+            for step in job["steps"]
         ]
-        return d
+        return job
 
-    m.setattr(front, "job_of", job_of)
+    monkeypatch.setattr(front, "job_of", job_of)
 
 
-def no_capacity(m):
-    reported(m, room=lambda d: [10**6, 10**7, 99])
+def no_capacity(monkeypatch):
+    reported(monkeypatch, room=lambda d: [10**6, 10**7, 99])
 
 
-def all_labels(m):
-    reported(m, labels=lambda d: ["a", "b", *d["labels"]])
+def all_labels(monkeypatch):
+    reported(monkeypatch, labels=lambda d: ["a", "b", *d["labels"]])
 
 
-def never_leaves(m):
-    reported(m, leaves=lambda d: False, leaveMs=lambda d: None)
+def never_leaves(monkeypatch):
+    reported(monkeypatch, leaves=lambda d: False, leaveMs=lambda d: None)
 
 
-def one_zone(m):
-    reported(m, zone=lambda d: "z1")
+def one_zone(monkeypatch):
+    reported(monkeypatch, zone=lambda d: "z1")
 
 
-def no_steps_before(m):
-    job_without(m, after=[])
+def no_steps_before(monkeypatch):
+    job_without(monkeypatch, after=[])
 
 
-def no_limit_of_failures(m):
-    job_without(m, maxFailures=50)
+def no_limit_of_failures(monkeypatch):
+    job_without(monkeypatch, maxFailures=50)
 
 
-def a_member_left_out(m):
-    def orders(self, v):
-        d = ORDERS(self, v)
-        return d | {
+def a_member_left_out(monkeypatch):
+    def orders(self, answer):
+        orders_sent = ORDERS(self, answer)
+        return orders_sent | {
             "start": [
-                x for x in d["start"] if not (x[0].endswith(".1") and x[2].startswith("profile of gang"))
+                start
+                for start in orders_sent["start"]
+                if not (start[0].endswith(".1") and start[2].startswith("profile of gang"))
             ]
         }
 
-    m.setattr(control.Control, "orders", orders)
+    monkeypatch.setattr(control.Control, "orders", orders)
 
 
-def other_profile(m):
-    m.setattr(
+def other_profile(monkeypatch):
+    monkeypatch.setattr(
         control.Control,
         "orders",
         lambda self, v: (
@@ -96,50 +98,50 @@
     )
 
 
-def no_stops(m):
-    m.setattr(control.Control, "orders", lambda self, v: ORDERS(self, v) | {"stop": []})
+def no_stops(monkeypatch):
+    monkeypatch.setattr(control.Control, "orders", lambda self, answer: ORDERS(self, answer) | {"stop": []})
 
 
-def short_leases(m):
-    """The primary takes a worker for lost long before its lease is over."""
+def short_leases(monkeypatch):
+    """The primary declares a worker lost long before its lease has expired."""
 
     def params_of(d, *, role):
-        p = PARAMS_OF(d, role=role)
-        p.margin_ms = -4000 if role == "hall" else p.margin_ms
-        return p
+        settings = PARAMS_OF(d, role=role)
+        settings.margin_ms = -4000 if role == "hall" else settings.margin_ms
+        return settings
 
-    m.setattr(boot, "params_of", params_of)
+    monkeypatch.setattr(boot, "params_of", params_of)
 
 
-def complete_too_soon(m):
-    m.setitem(front.STATES, "open", "complete")
+def complete_too_soon(monkeypatch):
+    monkeypatch.setitem(front.STATES, "open", "complete")
 
 
-def older_read_back(m):
-    m.setattr(control, "whole_config", lambda c: WHOLE(c) | {"revision": 1})
+def older_read_back(monkeypatch):
+    monkeypatch.setattr(control, "whole_config", lambda c: WHOLE(c) | {"revision": 1})
 
 
-def answers(m, change):
-    """Some answers to clients are changed on their way out."""
+def answers(monkeypatch, change):
+    """Changes answers to clients before they are sent."""
 
     def take(self, *, call, callback):
         return TAKE(self, call=call, callback=lambda r: callback(change(call, r)))
 
-    m.setattr(front.Front, "take", take)
+    monkeypatch.setattr(front.Front, "take", take)
 
 
-def some_unknown(m):
+def some_unknown(monkeypatch):
     answers(
-        m,
+        monkeypatch,
         lambda call, r: (
             front.Reply(status=410, body={}) if call.method == "GET" and call.path[-1] in "0123" else r
         ),
     )
 
 
-def refuses_and_runs(m):
+def refuses_and_runs(monkeypatch):
     answers(
-        m,
+        monkeypatch,
         lambda call, r: (
             front.Reply(status=503, body={}) if call.method == "POST" and call.path[-1] in "0123" else r
         ),
@@ -164,12 +166,12 @@
 ]
 
 
-@pytest.mark.parametrize("broken, rule, faults", BROKEN, ids=[b.__name__ for b, *_ in BROKEN])
+@pytest.mark.parametrize("broken, rule, faults", BROKEN, ids=[broken.__name__ for broken, *_ in BROKEN])
 def test_a_broken_adapter_is_seen(broken, rule, faults, monkeypatch):
     broken(monkeypatch)
     more = [(jobs.poison, 2), (jobs.labelled("a"), 2), (jobs.long, 2)]
-    _, bad, _ = play(seed=8, faults=faults, rate=6.0, extra=more)
-    assert rule in {b.rule for b in bad}
+    _, found, _ = play(seed=8, faults=faults, rate=6.0, extra=more)
+    assert rule in {violation.rule for violation in found}
 
 
 # --- more seeds
@@ -182,11 +184,14 @@
 def main(span, *names):
     rate, names = 4.0, list(names)
     if "--rate" in names:
-        i = names.index("--rate")
-        rate = float(names[i + 1])
-        del names[i : i + 2]
-    a, b = map(int, span.split("-"))
-    sweep(violations, [(f, n, rate) for f in names or [f.__name__ for f in FAULTS] for n in range(a, b + 1)])
+        option = names.index("--rate")
+        rate = float(names[option + 1])
+        del names[option : option + 2]
+    first, last = map(int, span.split("-"))
+    sweep(
+        violations,
+        [(f, n, rate) for f in names or [f.__name__ for f in FAULTS] for n in range(first, last + 1)],
+    )
 
 
 if __name__ == "__main__":
