--- a/hollowhall/tools/__init__.py
+++ b/hollowhall/tools/__init__.py
@@ -1,1 +1,1 @@
-"""The commands, by purpose; run.py has those of the daemons."""
+"""The subcommands, one package per purpose; run.py has those that run the daemons."""
--- a/hollowhall/tools/operate/__init__.py
+++ b/hollowhall/tools/operate/__init__.py
@@ -1,1 +1,1 @@
-"""What operators run beside a fleet: its commands over HTTP, and restore."""
+"""The operators' commands: those that talk to a gateway over HTTP, and `restore`, which works on a disk."""
--- a/hollowhall/tools/operate/commands.py
+++ b/hollowhall/tools/operate/commands.py
@@ -1,5 +1,5 @@
-"""The operators' commands: jobs, lanes, fleet status, drain. They ask a mast over
-HTTP, as any caller does. With --json the answer is printed as it came."""
+"""The operators' commands for jobs, queues, fleet status and workers. They send HTTP requests to a
+gateway, as any client does. With --json the answer is printed unchanged."""
 
 import asyncio
 import json
@@ -13,30 +13,36 @@
 
 
 def common():
+    """The options that all operators' commands have."""
     return [
-        option("mast", None, "IP:port of a mast's HTTP.", flag=False),
-        option("fleet", None, "fleet.json or its folder, if no --mast is given.", flag=False, default="run"),
+        option("mast", None, "IP:port of a gateway's HTTP.", flag=False),
+        option(
+            "fleet", None, "fleet.json or its directory, if no --mast is given.", flag=False, default="run"
+        ),
         option("json", None, "Print the answer as JSON.", flag=True),
     ]
 
 
 class OperateCommand(Command):
+    """Base of the commands that send HTTP requests to a gateway."""
+
     options = common()
 
     def mast(self):
+        """The address of the gateway: --mast, else the first one of the fleet file."""
         return self.option("mast") or read_fleet(self.option("fleet"))["masts"][0]
 
     def key_header(self):
-        """The header with a tenant's key, where the command takes one."""
+        """The header with a tenant's key, or None if the command takes none."""
         return None
 
     def ask(self, method, path, body=None):
-        """(status, answer); ends the command when nobody can be reached."""
+        """Sends one request; returns (status, answer). Raises SystemExit if the gateway does not answer."""
 
         async def go():
-            w = Web()
+            client = Web()
             try:
-                return await w.ask(
+                return await client.ask(
                     method=method,
                     addr=self.mast(),
                     path=path,
@@ -45,42 +51,45 @@
                     headers=self.key_header(),
                 )
             finally:
-                await w.close()
+                await client.close()
 
         try:
-            o = asyncio.run(go())
+            result = asyncio.run(go())
         except Raised as e:
             self.line_error(e.problem.errors[0][1])
             raise SystemExit(2) from None
-        if isinstance(o, Failure):
-            self.line_error(f"no answer from the mast: {type(o).__name__}")
+        if isinstance(result, Failure):
+            self.line_error(f"no answer from the mast: {type(result).__name__}")
             raise SystemExit(4)
-        return o[0], o[1]
+        return result[0], result[1]
 
-    def show(self, st, v, lines):
-        """Prints an answer or a problem; the exit code."""
+    def show(self, status, answer, lines):
+        """Prints an answer, through `lines`, or an error. Returns the exit code."""
         if self.option("json"):
-            self.line(json.dumps(v, indent=1))
-        elif st >= 400:
+            self.line(json.dumps(answer, indent=1))
+        elif status >= 400:
             self.line_error(
-                f"{v.get('problem', st)}: " + ", ".join(f"{a}={b}" for a, b in v.items() if a != "problem")
+                f"{answer.get('problem', status)}: "
+                + ", ".join(f"{key}={value}" for key, value in answer.items() if key != "problem")
             )
         else:
-            for x in lines(v):
-                self.line(x)
-        return 0 if st < 400 else 1
+            for line in lines(answer):
+                self.line(line)
+        return 0 if status < 400 else 1
 
 
 class JobsCommand(OperateCommand):
+    """Lists, shows, submits and cancels jobs."""
+
     name = "jobs"
-    description = "List jobs, or show, send or cancel one."
+    description = "List jobs, or show, submit or cancel one."
     arguments = [argument("job", "Name of a job.", optional=True)]
     options = common() + [
-        option("lane", None, "Only this lane.", flag=False, default=""),
-        option("state", None, "Only this state.", flag=False, default=""),
-        option("send", None, "JSON file with the job's body, sent under the name.", flag=False),
+        option("lane", None, "Only jobs of this queue.", flag=False, default=""),
+        option("state", None, "Only jobs in this state.", flag=False, default=""),
+        option("send", None, "JSON file with the job's body, submitted under the name.", flag=False),
         option("cancel", None, "Cancel the job.", flag=True),
-        option("key-file", None, "File with the key of the tenant whose job it is.", flag=False),
+        option("key-file", None, "File with the key of the tenant that owns the job.", flag=False),
     ]
 
     def key_header(self):
@@ -91,136 +100,152 @@
             return {"Authorization": f"Bearer {f.read().strip()}"}
 
     def handle(self):
-        n = self.argument("job")
+        name = self.argument("job")
         try:
             self.key_header()
-        except OSError as e:
-            self.line_error(f"--key-file: {e}")
+        except OSError as error:
+            self.line_error(f"--key-file: {error}")
             return 2
-        if n is None:
-            st, v = self.ask("GET", f"/v1/jobs?lane={self.option('lane')}&state={self.option('state')}")
+        if name is None:
+            status, answer = self.ask(
+                "GET", f"/v1/jobs?lane={self.option('lane')}&state={self.option('state')}"
+            )
             return self.show(
-                st,
-                v,
-                lambda v: (
-                    [one_line(j) for j in v["jobs"]] + ([f"more after {v['next']}"] if v["next"] else [])
+                status,
+                answer,
+                lambda answer: (
+                    [one_line(job) for job in answer["jobs"]]
+                    + ([f"more after {answer['next']}"] if answer["next"] else [])
                 ),
             )
         if self.option("send"):
             try:
-                with open(self.option("send")) as f:
-                    body = json.load(f)
-            except (OSError, ValueError) as e:
-                self.line_error(f"{self.option('send')}: {e}")
+                with open(self.option("send")) as file:
+                    body = json.load(file)
+            except (OSError, ValueError) as error:
+                self.line_error(f"{self.option('send')}: {error}")
                 return 2
-            st, v = self.ask("PUT", f"/v1/jobs/{n}", body)
+            status, answer = self.ask("PUT", f"/v1/jobs/{name}", body)
         elif self.option("cancel"):
-            st, v = self.ask("DELETE", f"/v1/jobs/{n}")
+            status, answer = self.ask("DELETE", f"/v1/jobs/{name}")
         else:
-            st, v = self.ask("GET", f"/v1/jobs/{n}")
+            status, answer = self.ask("GET", f"/v1/jobs/{name}")
         return self.show(
-            st,
-            v,
-            lambda v: (
-                [one_line(v)]
+            status,
+            answer,
+            lambda answer: (
+                [one_line(answer)]
                 + [
-                    f"  {t['task']}  {t['state']}  {t['worker']}  fails {t['fails']}"
-                    for t in v.get("each", [])
+                    f"  {task['task']}  {task['state']}  {task['worker']}  fails {task['fails']}"
+                    for task in answer.get("each", [])
                 ]
             ),
         )
 
 
-def one_line(j):
-    ts = " ".join(f"{a}:{b}" for a, b in j["tasks"].items())
-    why = j["why"] or " ".join(f"{a} waits: {b}" for a, b in j["waits"].items())
-    return f"{j['name']}  {j['lane']}  {j['state']}  {ts}  {why}".rstrip()
+def one_line(job):
+    tasks = " ".join(f"{key}:{value}" for key, value in job["tasks"].items())
+    why = job["why"] or " ".join(f"{key} waits: {value}" for key, value in job["waits"].items())
+    return f"{job['name']}  {job['lane']}  {job['state']}  {tasks}  {why}".rstrip()
 
 
 class LanesCommand(OperateCommand):
+    """Shows and changes the configuration of the queues."""
+
     name = "lanes"
-    description = "Show the charter, or edit it: --set tiles.weight=4 or --table file.json."
+    description = (
+        "Show the configuration of the queues, or change it: --set tiles.weight=4 or --table file.json."
+    )
     options = common() + [
-        option("set", None, "LANE.FIELD=NUMBER, may be given again.", flag=False, multiple=True),
-        option("drop", None, "A lane to take out, may be given again.", flag=False, multiple=True),
+        option("set", None, "LANE.FIELD=NUMBER; may be repeated.", flag=False, multiple=True),
+        option("drop", None, "A queue to remove; may be repeated.", flag=False, multiple=True),
         option("table", None, "JSON file with the whole table of rows.", flag=False),
-        option("base", None, "Version the edit builds on; else the one just read.", flag=False),
+        option("base", None, "Version that the change is based on; default: the current one.", flag=False),
     ]
 
     def handle(self):
-        st, v = self.ask("GET", "/v1/charter")
-        if st == 200 and (self.option("set") or self.option("drop") or self.option("table")):
-            base = int(self.option("base") or v["version"])
+        status, answer = self.ask("GET", "/v1/charter")
+        if status == 200 and (self.option("set") or self.option("drop") or self.option("table")):
+            base = int(self.option("base") or answer["version"])
             try:
-                rows, method = self.rows(v["rows"])
-            except (OSError, ValueError, KeyError) as e:
-                self.line_error(f"bad edit: {e}")
+                rows, method = self.rows(answer["rows"])
+            except (OSError, ValueError, KeyError) as error:
+                self.line_error(f"bad edit: {error}")
                 return 2
-            st, v = self.ask(method, "/v1/charter", {"base": base, "rows": rows})
-            return self.show(st, v, lambda v: [f"charter is at version {v['version']}"])
+            status, answer = self.ask(method, "/v1/charter", {"base": base, "rows": rows})
+            return self.show(status, answer, lambda answer: [f"charter is at version {answer['version']}"])
         return self.show(
-            st,
-            v,
-            lambda v: (
-                [f"version {v['version']}"]
+            status,
+            answer,
+            lambda answer: (
+                [f"version {answer['version']}"]
                 + [
-                    f"{a}  weight {r['weight']}  limit {r['limit'] or 'none'}  urgency {r['urgency']}"
-                    for a, r in sorted(v["rows"].items())
+                    f"{lane}  weight {row['weight']}  limit {row['limit'] or 'none'}  urgency {row['urgency']}"
+                    for lane, row in sorted(answer["rows"].items())
                 ]
             ),
         )
 
-    def rows(self, now):
+    def rows(self, current):
+        """(rows, HTTP method) of the change: PUT replaces the whole table, PATCH changes the named rows. A row of
+        None removes the queue."""
         if self.option("table"):
-            with open(self.option("table")) as f:
-                return json.load(f), "PUT"
+            with open(self.option("table")) as file:
+                return json.load(file), "PUT"
         rows = {a: None for a in self.option("drop")}
-        for x in self.option("set"):
-            key, val = x.split("=", 1)
-            lane, fld = key.rsplit(".", 1)
-            row = rows.setdefault(lane, dict(now.get(lane) or {"weight": 1}))
-            row[fld] = float(val) if fld == "weight" else int(val)
+        for setting in self.option("set"):
+            key, value = setting.split("=", 1)
+            lane, column = key.rsplit(".", 1)
+            row = rows.setdefault(lane, dict(current.get(lane) or {"weight": 1}))
+            row[column] = float(value) if column == "weight" else int(value)
         return rows, "PATCH"
 
 
 class StatusCommand(OperateCommand):
+    """Shows the daemons and workers of the fleet."""
+
     name = "fleet status"
-    description = "Show daemons and workers as a mast sees them."
+    description = "Show daemons and workers as a gateway sees them."
 
     def handle(self):
-        st, v = self.ask("GET", "/v1/fleet")
+        status, answer = self.ask("GET", "/v1/fleet")
 
-        def lines(v):
-            yield f"primary {v['primary']}  epoch {v['epoch']}  turns {v['turns']}  charter {v['charter']}"
-            for i, d in sorted(v["daemons"].items()):
-                yield f"{i}  {d['role']}  {d['zone']}  {d['addr']}  {'down' if d.get('down') else 'up'}"
-            for w in v["workers"]:
+        def lines(answer):
+            yield f"primary {answer['primary']}  epoch {answer['epoch']}  turns {answer['turns']}  charter {answer['charter']}"
+            for name, daemon in sorted(answer["daemons"].items()):
+                yield f"{name}  {daemon['role']}  {daemon['zone']}  {daemon['addr']}  {'down' if daemon.get('down') else 'up'}"
+            for worker in answer["workers"]:
                 yield (
-                    f"{w['id']}  {w['kind']}  {w['rack']}  {w['state']}  legs {w['legs']}  "
-                    f"used {w['used']} of {w['room']}" + ("  probation" if w["probation"] else "")
+                    f"{worker['id']}  {worker['kind']}  {worker['rack']}  {worker['state']}  legs {worker['legs']}  "
+                    f"used {worker['used']} of {worker['room']}"
+                    + ("  probation" if worker["probation"] else "")
                 )
 
-        return self.show(st, v, lines)
+        return self.show(status, answer, lines)
 
 
 class DrainCommand(OperateCommand):
+    """Drains a worker."""
+
     name = "drain"
-    description = "Tell the fleet that a worker is leaving: it gets no new work."
-    arguments = [argument("worker", "The worker.")]
+    description = "Drain a worker: it gets no new work."
+    arguments = [argument("worker", "Id of the worker.")]
 
     def handle(self):
-        st, v = self.ask("POST", f"/v1/workers/{self.argument('worker')}/leave", {})
-        return self.show(st, v, lambda v: [f"{self.argument('worker')} is leaving"])
+        status, answer = self.ask("POST", f"/v1/workers/{self.argument('worker')}/leave", {})
+        return self.show(status, answer, lambda answer: [f"{self.argument('worker')} is leaving"])
 
 
 class GoneCommand(OperateCommand):
+    """Declares a lost worker gone, so that its tasks can start elsewhere."""
+
     name = "gone"
-    description = "Declare a lost worker gone: it runs nothing, its tasks start elsewhere."
-    arguments = [argument("worker", "The worker; refused while it is heard.")]
+    description = "Declare that a lost worker runs nothing any more: its tasks start elsewhere."
+    arguments = [argument("worker", "Id of the worker; refused while the worker still reports.")]
 
     def handle(self):
-        st, v = self.ask("POST", f"/v1/workers/{self.argument('worker')}/gone", {})
-        return self.show(st, v, lambda v: [f"{self.argument('worker')} is gone"])
+        status, answer = self.ask("POST", f"/v1/workers/{self.argument('worker')}/gone", {})
+        return self.show(status, answer, lambda answer: [f"{self.argument('worker')} is gone"])
 
 
 OPERATE = [JobsCommand, LanesCommand, StatusCommand, DrainCommand, GoneCommand]
--- a/hollowhall/tools/operate/reservations.py
+++ b/hollowhall/tools/operate/reservations.py
@@ -1,5 +1,5 @@
-"""The operators' command for reservations: list, show, add, shorten, cancel. It asks a mast
-over HTTP, as any client does. Times are Unix ms, or seconds from now with a plus: +3600."""
+"""The operators' command for reservations: list, show, add, shorten, cancel. It sends HTTP requests to a
+gateway. Times are given in Unix ms, or as seconds from now with a plus sign: +3600."""
 
 import time
 
@@ -11,51 +11,55 @@
 ROOM = ("cores", "memMb", "gpus")
 
 
-def moment(text):
-    """Unix ms of '1780000000000', or of '+3600': seconds from this machine's now."""
+def unix_ms(text):
+    """Unix ms of a time option: '1780000000000' as it is, '+3600' as seconds from this machine's clock. Raises
+    ValueError for anything else."""
     if text.startswith("+"):
         return int((time.time() + float(text[1:])) * 1000)
     return int(text)
 
 
-def one_line(r):
-    size = " ".join(f"{a}:{r['room'][a]}" for a in ROOM if r["room"][a])
-    where = "".join(f"  {a} {r[a]}" for a in ("zone", "label") if r[a])
+def one_line(reservation):
+    size = " ".join(f"{key}:{reservation['room'][key]}" for key in ROOM if reservation["room"][key])
+    where = "".join(f"  {key} {reservation[key]}" for key in ("zone", "label") if reservation[key])
     return (
-        f"{r['name']}  {r['state']}  {r['count']} x {size}  {r['kind']}{where}  "
-        f"lanes {','.join(r['lanes'])}  {r['fromMs']} to {r['untilMs']}"
-        + (f"  planned {r['planned']}" if r["state"] != RELEASED else "")
+        f"{reservation['name']}  {reservation['state']}  {reservation['count']} x {size}  {reservation['kind']}{where}  "
+        f"lanes {','.join(reservation['lanes'])}  {reservation['fromMs']} to {reservation['untilMs']}"
+        + (f"  planned {reservation['planned']}" if reservation["state"] != RELEASED else "")
     )
 
 
 class ReservationsCommand(OperateCommand):
+    """Lists, shows, adds, shortens and cancels reservations."""
+
     name = "reservations"
-    description = "Reservations of room for a window: list, show, add, shorten, cancel."
+    description = "Reservations of resources for a time window: list, show, add, shorten, cancel."
     arguments = [
         argument("do", "list, show, add, shorten or cancel.", optional=True, default="list"),
-        argument("reservation", "Its name.", optional=True, default=""),
+        argument("reservation", "Name of the reservation.", optional=True, default=""),
     ]
     options = common() + [
-        option("kind", None, "Kind of worker.", flag=False, default=""),
-        option("count", None, "How many.", flag=False),
-        option("gpus", None, "Accelerators of each.", flag=False, default="1"),
-        option("cores", None, "Cores of each.", flag=False, default="1"),
-        option("mem", None, "MB of memory of each.", flag=False, default="0"),
-        option("zone", None, "Only workers of this zone.", flag=False, default=""),
+        option("kind", None, "Kind of worker to reserve on.", flag=False, default=""),
+        option("count", None, "Number of units to reserve.", flag=False),
+        option("gpus", None, "Accelerators per unit.", flag=False, default="1"),
+        option("cores", None, "Cores per unit.", flag=False, default="1"),
+        option("mem", None, "MB of memory per unit.", flag=False, default="0"),
+        option("zone", None, "Only workers in this zone.", flag=False, default=""),
         option("label", None, "Only workers with this label.", flag=False, default=""),
-        option("lane", None, "Whose jobs it is for, may be given again.", flag=False, multiple=True),
-        option("from", None, "Unix ms, or +SECONDS from now.", flag=False),
-        option("until", None, "Unix ms, or +SECONDS from now.", flag=False),
+        option("lane", None, "Queue whose jobs may use it; may be repeated.", flag=False, multiple=True),
+        option("from", None, "Start: Unix ms, or +SECONDS from now.", flag=False),
+        option("until", None, "End: Unix ms, or +SECONDS from now.", flag=False),
     ]
 
     def body(self, *, do):
-        d = {}
+        """The request body of `add` or `shorten`. Raises ValueError for an option that is no number or time."""
+        body = {}
         if self.option("count") is not None:
-            d["count"] = int(self.option("count"))
+            body["count"] = int(self.option("count"))
         if self.option("until") is not None:
-            d["untilMs"] = moment(self.option("until"))
+            body["untilMs"] = unix_ms(self.option("until"))
         if do == "add":
-            d |= {
+            body |= {
                 "kind": self.option("kind"),
                 "zone": self.option("zone"),
                 "label": self.option("label"),
@@ -67,26 +71,30 @@
                 },
             }
             if self.option("from") is not None:
-                d["fromMs"] = moment(self.option("from"))
-        return d
+                body["fromMs"] = unix_ms(self.option("from"))
+        return body
 
     def handle(self):
-        do, n = self.argument("do"), self.argument("reservation")
+        do, name = self.argument("do"), self.argument("reservation")
         method = {"list": "GET", "show": "GET", "add": "PUT", "shorten": "PATCH", "cancel": "DELETE"}.get(do)
-        if method is None or (do == "list") != (n == ""):
+        if method is None or (do == "list") != (name == ""):
             self.line_error("list; or show, add, shorten or cancel and a name")
             return 2
         try:
             body = self.body(do=do) if do in ("add", "shorten") else None
-        except ValueError as e:
-            self.line_error(f"bad option: {e}")
+        except ValueError as error:
+            self.line_error(f"bad option: {error}")
             return 2
         if do == "list":
             lane = (self.option("lane") or [""])[0]
-            st, v = self.ask("GET", f"/v1/reservations?lane={lane}")
-            return self.show(st, v, lambda v: [one_line(r) for r in v["reservations"]])
-        st, v = self.ask(method, f"/v1/reservations/{n}", body)
-        return self.show(st, v, lambda v: [one_line(v)])
+            status, answer = self.ask("GET", f"/v1/reservations?lane={lane}")
+            return self.show(
+                status,
+                answer,
+                lambda answer: [one_line(reservation) for reservation in answer["reservations"]],
+            )
+        status, answer = self.ask(method, f"/v1/reservations/{name}", body)
+        return self.show(status, answer, lambda answer: [one_line(answer)])
 
 
 RESERVATIONS = [ReservationsCommand]
--- a/hollowhall/tools/operate/restore.py
+++ b/hollowhall/tools/operate/restore.py
@@ -1,7 +1,9 @@
-"""Restoring a store from one surviving disk, when a majority of the members is lost for
-good. A deliberate act, by hand, on an almanac that does not run: its disk is told that
-it is the only member, so that it leads alone what it has; the others' addresses never
-come back. What only the lost ones had confirmed is gone, and no disk can say how much."""
+"""Restores a store from one surviving disk after a majority of the members is lost for good.
+
+An operator runs it on purpose, while the store member of that disk is stopped. It writes a membership to the
+disk in which this member is the only one, so that it can lead alone with the data it has. The addresses of the
+other members are recorded as past ones and never rejoin. What only the lost members had acknowledged is lost,
+and the surviving disk cannot tell how much that is."""
 
 import asyncio
 import json
@@ -20,91 +22,103 @@
 from ...record import Record
 
 
-def replayed(snap, es):
-    """The record as this disk has it, and the newest list of members on it."""
-    rec, conf = Record(), (snap or {}).get("conf")
-    if snap is not None:
-        rec.load(snap["record"])
-    for _, _, b in es:
-        d = unpack(b)
-        if d[0] in ("turn", "edit", "level"):
-            rec.enact(op=d[0], d=d[1])
-        elif d[0] == "members":
-            conf = d[1]
-    return rec, conf
+def replay(snapshot, entries):
+    """(the record, the newest membership) that a snapshot and the log entries after it yield."""
+    record, membership = Record(), (snapshot or {}).get("conf")
+    if snapshot is not None:
+        record.load(snapshot["record"])
+    for _, _, body in entries:
+        operation = unpack(body)
+        if operation[0] in ("turn", "edit", "level"):
+            record.enact(op=operation[0], d=operation[1])
+        elif operation[0] == "members":
+            membership = operation[1]
+    return record, membership
 
 
 async def restore(*, disk, params, write):
-    """What is on the disk; with `write`, from then on its member is the only one."""
-    ring = Ring(disk=disk, files=params.ring_files, size=params.ring_bytes)
-    hard, snap, es = ring.load()
+    """Summarizes what is on the disk; with `write`, makes its member the only one. Raises Raised(Refused) if the
+    disk is not that of a voting member."""
+    log = Ring(disk=disk, files=params.ring_files, size=params.ring_bytes)
+    hard, snapshot, entries = log.load()
     if not hard.get("m"):
         raise Raised(Refused(why="this disk holds no member that counts"))
-    rec, conf = replayed(snap, es)
-    conf = conf or {
+    record, membership = replay(snapshot, entries)
+    membership = membership or {
         "v": 0,
         "voters": sorted({*params.seeds, params.addr}),
         "learner": "",
         "out": "",
         "past": [],
     }
-    if params.addr not in conf["voters"]:
+    if params.addr not in membership["voters"]:
         raise Raised(Refused(why="this disk's member was not among those that count"))
-    others = [a for a in (*conf["voters"], conf["learner"]) if a not in ("", params.addr)]
-    last = es[-1][0] if es else snap["i"] if snap else 0
-    jobs = [j.state for j in rec.jobs.values()]
+    others = [
+        addr for addr in (*membership["voters"], membership["learner"]) if addr not in ("", params.addr)
+    ]
+    last = entries[-1][0] if entries else snapshot["i"] if snapshot else 0
+    states = [job.state for job in record.jobs.values()]
     if write:
-        c = conf | {
-            "v": conf["v"] + 1,
+        sole_member = membership | {
+            "v": membership["v"] + 1,
             "voters": [params.addr],
             "learner": "",
             "out": "",
-            "past": sorted({*conf["past"], *others}),
+            "past": sorted({*membership["past"], *others}),
         }
-        t = hard["t"] + 1
-        await ring.put(hard={"t": t, "v": params.addr, "m": True}, es=[[last + 1, t, pack(["members", c])]])
+        term = hard["t"] + 1
+        await log.put(
+            hard={"t": term, "v": params.addr, "m": True},
+            es=[[last + 1, term, pack(["members", sole_member])]],
+        )
     return {
         "last": last,
         "term": hard["t"],
         "lost": others,
-        "jobs": len(jobs),
-        "open": sum(s in ("open", "ending") for s in jobs),
-        "workers": len(rec.workers),
-        "charter": rec.charter["version"],
-        "stampMs": rec.last >> constants.LOGICAL_BITS,
+        "jobs": len(states),
+        "open": sum(state in ("open", "ending") for state in states),
+        "workers": len(record.workers),
+        "charter": record.charter["version"],
+        "stampMs": record.last >> constants.LOGICAL_BITS,
         "written": write,
     }
 
 
 class RestoreCommand(Command):
+    """Shows what a surviving disk holds and, with --yes, makes it the whole store."""
+
     name = "restore"
-    description = "Make one surviving almanac's disk the whole store; the others are lost for good."
+    description = (
+        "Make the disk of one surviving store member the whole store; the other members are lost for good."
+    )
     options = [
-        option("params", "p", "The almanac's params file; the almanac must not run.", flag=False),
-        option("yes", None, "Write it; without this it is only shown.", flag=True),
+        option("params", "p", "Settings file of the store member, which must not be running.", flag=False),
+        option("yes", None, "Write to the disk; without this option it is only shown.", flag=True),
     ]
 
     def handle(self):
         try:
-            p = P.read(path=self.option("params"), flags={"role": "almanac"})
-            if asyncio.run(probe(addr=p.bind or p.addr, op="status", request={}, wait=1.0)).ok:
-                raise Raised(Refused(why=f"an almanac answers at {p.addr}: end it first"))
-            d = asyncio.run(restore(disk=Disk(folder=p.data), params=p, write=self.option("yes")))
-        except Raised as e:
-            for key, why in getattr(e.problem, "errors", ()):
+            params = P.read(path=self.option("params"), flags={"role": "almanac"})
+            if asyncio.run(probe(addr=params.bind or params.addr, op="status", request={}, wait=1.0)).ok:
+                raise Raised(Refused(why=f"an almanac answers at {params.addr}: end it first"))
+            found = asyncio.run(
+                restore(disk=Disk(folder=params.data), params=params, write=self.option("yes"))
+            )
+        except Raised as error:
+            for key, why in getattr(error.problem, "errors", ()):
                 self.line_error(f"params: {key}: {why}")
-            self.line_error(repr(e.problem))
-            return 3 if isinstance(e.problem, DiskDamage) else 2
-        self.line(json.dumps(d))
-        at = datetime.fromtimestamp(d["stampMs"] / 1000, UTC).isoformat()
+            self.line_error(repr(error.problem))
+            return 3 if isinstance(error.problem, DiskDamage) else 2
+        self.line(json.dumps(found))
+        newest = datetime.fromtimestamp(found["stampMs"] / 1000, UTC).isoformat()
         self.line(
-            f"the newest turn on this disk is of {at}; what only {', '.join(d['lost'])} "
+            f"the newest turn on this disk is of {newest}; what only {', '.join(found['lost'])} "
             "had confirmed after it is lost, and no disk here can say whether it was any"
         )
         self.line(
             "written: start this almanac, then add blank ones (hollowhall members add); "
-            f"never start {', '.join(d['lost'])} with their old disks again"
-            if d["written"]
+            f"never start {', '.join(found['lost'])} with their old disks again"
+            if found["written"]
             else "nothing written; say --yes to do it"
         )
         return 0
--- a/hollowhall/tools/operate/tenants.py
+++ b/hollowhall/tools/operate/tenants.py
@@ -1,5 +1,5 @@
-"""The operators' command for tenants: who may run what, runs it, waits and was refused by which daemon;
-and changes of their limits, weights and keys. It asks a mast over HTTP, as any client does. Keys
+"""The operators' command for tenants: shows their limits, what they run, what waits and what each daemon
+admitted and refused; changes their limits, weights and keys. It sends HTTP requests to a gateway. Keys
 are read from files and never printed."""
 
 import json
@@ -13,7 +13,7 @@
 
 
 def amounts(room):
-    """A room in words; a resource that is 0 is left out."""
+    """Amounts of resources as text; a resource that is 0 is left out."""
     return " ".join(f"{field}:{room[field]}" for field in RESOURCES if room[field])
 
 
@@ -27,7 +27,7 @@
 
 
 def daemon_lines(tenant):
-    """What each daemon holds of a tenant's budget, and whom it let in."""
+    """Lines on each daemon's part of a tenant's request budget, and on the requests that it admitted and refused."""
     yield f"  budget {tenant['tokens']} tokens left"
     for daemon in tenant["daemons"]:
         yield (
@@ -37,19 +37,21 @@
 
 
 class TenantsCommand(OperateCommand):
+    """Lists, shows, changes and removes tenants."""
+
     name = "tenants"
     description = "Tenants: list or show them, set limits, weight and keys, drop one."
     arguments = [
         argument("do", "list, show, set or drop.", optional=True, default="list"),
-        argument("tenant", "Its name.", optional=True, default=""),
+        argument("tenant", "Name of the tenant.", optional=True, default=""),
     ]
     options = common() + [
-        option("cores", None, "What it may have running at once; 0: no limit.", flag=False),
-        option("memMb", None, "MB of memory, the same.", flag=False),
-        option("gpus", None, "Accelerators, the same.", flag=False),
-        option("weight", None, "Its share when all is full.", flag=False),
-        option("keys", None, "File with its keys, one a line; replaces those it has.", flag=False),
-        option("base", None, "Version the change builds on; else the one just read.", flag=False),
+        option("cores", None, "Cores that it may use at once; 0: no limit.", flag=False),
+        option("memMb", None, "MB of memory that it may use at once; 0: no limit.", flag=False),
+        option("gpus", None, "Accelerators that it may use at once; 0: no limit.", flag=False),
+        option("weight", None, "Its weight when the fleet is full.", flag=False),
+        option("keys", None, "File with its keys, one per line; they replace the present ones.", flag=False),
+        option("base", None, "Version that the change is based on; default: the current one.", flag=False),
     ]
 
     def handle(self):
@@ -77,25 +79,25 @@
         if status != 200:
             return self.show(status, body, lambda body: [])
         try:
-            row = None if do == "drop" else self.row(now=(body.get("tenants") or {}).get(name, {}))
+            row = None if do == "drop" else self.row(current=(body.get("tenants") or {}).get(name, {}))
             base = int(self.option("base") or body["version"])
-        except (OSError, ValueError) as e:
-            self.line_error(f"bad option: {e}")
+        except (OSError, ValueError) as error:
+            self.line_error(f"bad option: {error}")
             return 2
         edit = {"base": base, "tenants": {name: row}}
         status, body = self.ask("PATCH", "/v1/charter", edit)
         return self.show(status, body, lambda body: [f"configuration is at version {body['version']}"])
 
-    def row(self, *, now):
-        """The tenant's row with what the options say; keys that it has are told as digests."""
-        row = {field: now[field] for field in FIELDS if field in now}
-        row["keys"] = [f"sha256:{digest}" for digest in now.get("keys", ())]
+    def row(self, *, current):
+        """The tenant's row, changed as the options say; present keys are sent as their digests."""
+        row = {field: current[field] for field in FIELDS if field in current}
+        row["keys"] = [f"sha256:{digest}" for digest in current.get("keys", ())]
         for field in FIELDS:
             if self.option(field) is not None:
                 row[field] = json.loads(self.option(field))
         if self.option("keys"):
-            with open(self.option("keys")) as f:
-                row["keys"] = [line.strip() for line in f if line.strip()]
+            with open(self.option("keys")) as file:
+                row["keys"] = [line.strip() for line in file if line.strip()]
         return row
 
 
--- a/hollowhall/tools/run.py
+++ b/hollowhall/tools/run.py
@@ -1,5 +1,6 @@
-"""The subcommands that run a daemon: almanac, desk, mast, and hall (almanac and desk as one). Params are checked before
-any socket opens. SIGTERM leaves gracefully; SIGHUP reads the params again."""
+"""The subcommands that run a daemon: `almanac` (store member), `desk` (scheduler), `mast` (gateway) and `hall` (a store
+member and a scheduler in one process). Settings are checked before any socket is opened. SIGTERM and SIGINT shut the
+daemon down gracefully; SIGHUP reloads the settings."""
 
 import asyncio
 import signal
@@ -19,77 +20,83 @@
 from ..mast import Mast
 
 ROLES = {"almanac": Almanac, "desk": Desk, "mast": Mast, "hall": Hall}
-FLAGS = ("id", "addr", "http", "bind", "zone", "cluster", "data", "log", "desk")
+SINGLE_FLAGS = ("id", "addr", "http", "bind", "zone", "cluster", "data", "log", "desk")
 
 
-def opts():
+def daemon_options():
     return [
-        option("params", "p", "TOML file with the daemon's params.", flag=False),
+        option("params", "p", "TOML file with the daemon's settings.", flag=False),
         option("id", None, "Name of this daemon.", flag=False),
-        option("addr", None, "IP:port for our own circuits.", flag=False),
+        option("addr", None, "IP:port for RPC between daemons.", flag=False),
         option("http", None, "IP:port for HTTP (mast).", flag=False),
-        option("bind", None, "IP:port to listen at, where others know us by another.", flag=False),
-        option("desk", None, "IP:port of a hall's desk.", flag=False),
-        option("zone", None, "Zone this machine is in.", flag=False),
+        option(
+            "bind", None, "IP:port to listen on, if it differs from the address that others use.", flag=False
+        ),
+        option("desk", None, "IP:port of the scheduler of a hall.", flag=False),
+        option("zone", None, "Zone of this machine.", flag=False),
         option("cluster", None, "Name of the cluster.", flag=False),
-        option("seed", None, "IP:port of an almanac; give it three times.", flag=False, multiple=True),
-        option("data", None, "Data folder (almanac).", flag=False),
-        option("log", None, "debug, info, warning or error.", flag=False),
-        option("found", None, "Found a new store, when all members are blank.", flag=True),
+        option("seed", None, "IP:port of a store member; give it three times.", flag=False, multiple=True),
+        option("data", None, "Data directory (almanac and hall).", flag=False),
+        option("log", None, "Log level: debug, info, warning or error.", flag=False),
+        option("found", None, "Bootstrap a new store if all members are empty.", flag=True),
     ]
 
 
-def read_flags(cmd, role):
-    f = {a: cmd.option(a) for a in FLAGS}
-    f |= {"seeds": cmd.option("seed") or None, "found": cmd.option("found") or None, "role": role}
-    return P.read(path=cmd.option("params"), flags=f)
+def read_flags(command, role):
+    """The settings of a daemon, from its file and the command line. Raises Raised if they are invalid."""
+    flags = {flag: command.option(flag) for flag in SINGLE_FLAGS}
+    flags |= {"seeds": command.option("seed") or None, "found": command.option("found") or None, "role": role}
+    return P.read(path=command.option("params"), flags=flags)
 
 
-def complain(cmd, problem):
+def report_errors(command, problem):
+    """Prints each invalid setting; returns the exit code."""
     for key, why in problem.errors:
-        cmd.line_error(f"params: {key}: {why}")
+        command.line_error(f"params: {key}: {why}")
     return 2
 
 
-async def serve(cmd, role, params):
+async def serve(command, role, params):
+    """Runs a daemon until it ends; returns the exit code: 0 after a shutdown, 1 after a failure, 3 if its data is
+    damaged."""
     folder = params.data if role in ("almanac", "hall") else None
-    d = ROLES[role](params=params, seam=Seam(folder=folder))
-    loop, bye, up = asyncio.get_running_loop(), [], asyncio.Event()
+    daemon = ROLES[role](params=params, seam=Seam(folder=folder))
+    loop, leaving, started = asyncio.get_running_loop(), [], asyncio.Event()
 
     def leave():
-        if not bye:
-            bye.append(loop.create_task(go()))
+        if not leaving:
+            leaving.append(loop.create_task(leave_once_started()))
 
-    async def go():
-        await up.wait()
-        await d.leave()
-        d.ended.set()
+    async def leave_once_started():
+        await started.wait()
+        await daemon.leave()
+        daemon.ended.set()
 
-    def again():
+    def reload_params():
         try:
-            d.take_params(read_flags(cmd, role))
-            level(params.log)
-        except Raised as e:
-            d.say(log_events.PARAMS_KEPT, errors=e.problem.errors)
-
-    for sig in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(sig, leave)
-    loop.add_signal_handler(signal.SIGHUP, again)
+            daemon.take_params(read_flags(command, role))
+            set_log_level(params.log)
+        except Raised as error:
+            daemon.say(log_events.PARAMS_KEPT, errors=error.problem.errors)
+
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, leave)
+    loop.add_signal_handler(signal.SIGHUP, reload_params)
     try:
-        await d.start()
-        up.set()
-    except Raised as e:
-        cmd.line_error(repr(e.problem))
-        return 3 if isinstance(e.problem, DiskDamage) else 1
-    except OSError as e:
-        cmd.line_error(f"{params.addr}: {e.strerror}")
+        await daemon.start()
+        started.set()
+    except Raised as error:
+        command.line_error(repr(error.problem))
+        return 3 if isinstance(error.problem, DiskDamage) else 1
+    except OSError as error:
+        command.line_error(f"{params.addr}: {error.strerror}")
         return 1
-    await d.ended.wait()
-    await d.stop()
-    return 1 if d.failed else 0
+    await daemon.ended.wait()
+    await daemon.stop()
+    return 1 if daemon.failed else 0
 
 
-HANDLER = logbook.StreamHandler(
+LOG_HANDLER = logbook.StreamHandler(
     sys.stderr,
     format_string=(
         "{record.time:%Y-%m-%dT%H:%M:%S.%f} {record.level_name} {record.channel} {record.message}"
@@ -97,42 +104,52 @@
 )
 
 
-def level(name):
-    HANDLER.level = logbook.lookup_level(name.upper())
+def set_log_level(name):
+    LOG_HANDLER.level = logbook.lookup_level(name.upper())
 
 
 class RoleCommand(Command):
-    options = opts()
+    """Base of the commands that run a daemon; the command's name is the daemon's role."""
+
+    options = daemon_options()
 
     def handle(self):
         try:
-            p = read_flags(self, self.name)
+            params = read_flags(self, self.name)
         except Raised as e:
-            return complain(self, e.problem)
+            return report_errors(self, e.problem)
         logbook.set_datetime_format("utc")
-        level(p.log)
-        HANDLER.push_application()
-        return asyncio.run(serve(self, self.name, p))
+        set_log_level(params.log)
+        LOG_HANDLER.push_application()
+        return asyncio.run(serve(self, self.name, params))
 
 
 class AlmanacCommand(RoleCommand):
+    """Runs a store member."""
+
     name = "almanac"
-    description = "Run a control daemon: store, clock, record (needs a disk)."
+    description = "Run a member of the replicated store (needs a disk)."
 
 
 class DeskCommand(RoleCommand):
+    """Runs a scheduler."""
+
     name = "desk"
-    description = "Run a scheduler daemon; one is primary, the others follow."
+    description = "Run a scheduler; one is primary, the others are standbys."
 
 
 class MastCommand(RoleCommand):
+    """Runs a gateway."""
+
     name = "mast"
-    description = "Run an edge daemon: HTTP for callers, workers and operators."
+    description = "Run a gateway: HTTP for clients, workers and operators."
 
 
 class HallCommand(RoleCommand):
+    """Runs a store member and a scheduler in one process."""
+
     name = "hall"
-    description = "Run an almanac and a desk as one process, on a small core machine."
+    description = "Run a store member and a scheduler in one process, for a small core machine."
 
 
 RUN = [HallCommand, AlmanacCommand, DeskCommand, MastCommand]
--- a/tests/test_tenants_command.py
+++ b/tests/test_tenants_command.py
@@ -1,4 +1,4 @@
-"""The operators' command for tenants: what it asks a mast, what it prints, exit codes."""
+"""The operators' command for tenants: its requests to a gateway, its output and exit codes."""
 
 import json
 
@@ -24,11 +24,12 @@
 
 
 def run(args, *answers):
-    asked, tester, left = [], CommandTester(TenantsCommand()), list(answers)
+    """Runs the command against a gateway that gives these answers: (exit code, requests, output)."""
+    asked, tester, remaining = [], CommandTester(TenantsCommand()), list(answers)
 
     def ask(method, path, body=None):
         asked.append((method, path, body))
-        return left.pop(0)
+        return remaining.pop(0)
 
     tester.command.ask = ask
     return tester.execute(args), asked, tester.io.fetch_output() + tester.io.fetch_error()
