--- a/hollowhall/tools/plan/__init__.py
+++ b/hollowhall/tools/plan/__init__.py
@@ -1,1 +1,1 @@
-"""What a change would move, now and ahead in time, and placements by a solver."""
+"""Shows what a change would move, now and in the time ahead, and finds placements with a solver."""
--- a/hollowhall/tools/plan/change.py
+++ b/hollowhall/tools/plan/change.py
@@ -1,5 +1,5 @@
-"""A change that the planner tries: its file, checked by marshmallow, and how it is made on
-a record of its own, which is read from a picture."""
+"""A change that the planner tries: its file, checked by marshmallow, and how it is applied to a copy of the
+record that a snapshot contains."""
 
 from dataclasses import dataclass, field
 
@@ -14,7 +14,8 @@
 
 @dataclass(kw_only=True)
 class Change:
-    """What is to be tried: rows of the charter, workers drained, lost or added."""
+    """What to try: rows of the configuration, and workers drained, lost or added. `whole`: the rows replace the
+    whole table; `base`: the version of the configuration that the change is based on, 0 for the present one."""
 
     base: int = 0
     rows: dict = field(default_factory=dict)
@@ -25,6 +26,8 @@
 
 
 class ChangeSchema(Schema):
+    """The file of a change."""
+
     base = fields.Int(strict=True, validate=validate.Range(min=0))
     rows = fields.Dict(keys=fields.Str())
     whole = fields.Bool(truthy={True}, falsy={False})
@@ -33,43 +36,49 @@
     add = fields.List(fields.Nested(HostSchema))
 
 
-def read_change(d):
-    """A Change from a file's content; every fault in one typed problem."""
+def read_change(content):
+    """A Change from a file's content. Raises Raised(BadInput) with all errors of the file."""
     try:
-        return Change(**ChangeSchema().load(d))
-    except ValidationError as e:
-        raise Raised(BadInput(errors=flat(e=e.messages))) from None
+        return Change(**ChangeSchema().load(content))
+    except ValidationError as error:
+        raise Raised(BadInput(errors=flat(e=error.messages))) from None
 
 
-def read_picture(d):
-    """A Record from a picture; a typed problem if it is none."""
-    r = Record()
+def read_picture(picture):
+    """(record, its time in Unix ms) of a snapshot. Raises Raised(BadInput) if it is not a snapshot."""
+    record = Record()
     try:
-        r.load(d["record"])
-        return r, int(d["at"])
-    except (KeyError, TypeError, ValueError, AttributeError) as e:
-        raise Raised(BadInput(errors=[["picture", f"not a picture: {e!r}"]])) from None
+        record.load(picture["record"])
+        return record, int(picture["at"])
+    except (KeyError, TypeError, ValueError, AttributeError) as error:
+        raise Raised(BadInput(errors=[["picture", f"not a picture: {error!r}"]])) from None
 
 
-def apply(rec, ch, now):
-    """The change on a record of its own; raises a typed problem for a bad one."""
-    if ch.rows or ch.whole:
-        rows = check_rows(ch.rows)
-        base = ch.base or rec.charter["version"]
-        gone = [a for a, r in rows.items() if r is None and a not in rec.charter["rows"]]
+def apply(record, change, now):
+    """Applies a change to a record. Raises Raised for an unknown queue or worker, bad rows or an old base."""
+    if change.rows or change.whole:
+        rows = check_rows(change.rows)
+        base = change.base or record.charter["version"]
+        gone = [lane for lane, row in rows.items() if row is None and lane not in record.charter["rows"]]
         if gone:
             raise Raised(Unknown(what="lane", id=gone[0]))
-        o = rec.edit({"base": base, "rows": rows, "whole": ch.whole})
-        if not o.ok:
-            raise Raised(o)
-    for w in ch.drain + ch.lose:
-        if w not in rec.workers:
-            raise Raised(Unknown(what="worker", id=w))
-    for w in ch.drain:
-        rec.workers[w].state = LEAVES
-    for w in ch.lose:
-        rec.ev_lost(rec.last, w, rec.workers[w].boot)
-    for a in ch.add:
-        rec.workers[a.id] = Worker(
-            id=a.id, boot="plan", kind=a.kind, state=UP, zone=a.zone, rack=a.rack, room=a.room
+        result = record.edit({"base": base, "rows": rows, "whole": change.whole})
+        if not result.ok:
+            raise Raised(result)
+    for worker in change.drain + change.lose:
+        if worker not in record.workers:
+            raise Raised(Unknown(what="worker", id=worker))
+    for worker in change.drain:
+        record.workers[worker].state = LEAVES
+    for worker in change.lose:
+        record.ev_lost(record.last, worker, record.workers[worker].boot)
+    for added in change.add:
+        record.workers[added.id] = Worker(
+            id=added.id,
+            boot="plan",
+            kind=added.kind,
+            state=UP,
+            zone=added.zone,
+            rack=added.rack,
+            room=added.room,
         )
--- a/hollowhall/tools/plan/plan.py
+++ b/hollowhall/tools/plan/plan.py
@@ -1,7 +1,7 @@
-"""The planner: what a change would move, changing nothing. It takes the present
-record from a mast, or a saved picture, lets the desk's own placement run on it
-once without the change and once with it, and tells the difference by lane and
-worker. That is one round of now; `--ahead` runs on from there (ahead.py)."""
+"""The planner: shows what a change would move, and changes nothing. It takes a snapshot of the record from a
+gateway, or a saved one, runs the scheduler's placement on it once without the change and once with it, and
+reports the difference by queue and worker. That is one round at the time of the snapshot; `--ahead` forecasts
+the time after it (ahead.py)."""
 
 import asyncio
 import json
@@ -17,183 +17,219 @@
 from .change import apply, read_change, read_picture
 from .plan_ahead import AheadMixin
 
-MOST = 1_000_000
+MAX_STARTS = 1_000_000  # per round; in effect no limit
 
 
-def round_of(rec, now):
-    r = Round(rec=rec, now=now, most=MOST)
-    r.open_plan(plan_of(rec=rec, ms=now))
-    starts = dict(r.run())
-    why = {}
-    for k, ts in rec.ready.items():
-        for t in ts.values():
-            if t.id not in starts:
-                why[t.id] = r.why_of(k)
-    return starts, why
+def round_of(record, now):
+    """The next round of placement on a record: ({task: worker} of the starts, {task: reason} of those that wait)."""
+    placement_round = Round(rec=record, now=now, most=MAX_STARTS)
+    placement_round.open_plan(plan_of(rec=record, ms=now))
+    starts = dict(placement_round.run())
+    reasons = {}
+    for key, tasks in record.ready.items():
+        for task in tasks.values():
+            if task.id not in starts:
+                reasons[task.id] = placement_round.why_of(key)
+    return starts, reasons
 
 
-def placed(rec, out):
-    """Tasks and their workers, of what `solve` found for the steps of a picture."""
-    d = {}
+def placed(record, out):
+    """{task: worker} of placements that `solve` found for the steps of a snapshot. Raises Raised(BadInput) if they
+    are not of this snapshot."""
+    workers = {}
     try:
-        for k, at in out["placements"].items():
-            job, step = k.rsplit("/", 1)
-            ws = [w for w, n in sorted(at.items()) for _ in range(n)]
-            ts = sorted(rec.ready[job, step].values(), key=lambda t: t.n)
-            d |= {t.id: w for t, w in zip(ts, ws)}
-    except (KeyError, TypeError, ValueError, AttributeError) as e:
-        raise Raised(BadInput(errors=[["placements", f"not placements of this picture: {e!r}"]])) from None
-    return d
+        for key, counts in out["placements"].items():
+            job, step = key.rsplit("/", 1)
+            worker_ids = [worker for worker, count in sorted(counts.items()) for _ in range(count)]
+            tasks = sorted(record.ready[job, step].values(), key=lambda task: task.n)
+            workers |= {task.id: worker for task, worker in zip(tasks, worker_ids)}
+    except (KeyError, TypeError, ValueError, AttributeError) as error:
+        raise Raised(
+            BadInput(errors=[["placements", f"not placements of this picture: {error!r}"]])
+        ) from None
+    return workers
 
 
 def plan(*, picture, change, placements=None):
-    """The difference that a change, or other placements, make to the next round."""
-    a, now = read_picture(picture)
-    b, _ = read_picture(json.loads(json.dumps(picture)))
-    before = {g.task: g.worker for g in b.legs.values()}
-    apply(b, change, now)
-    s0, w0 = round_of(a, now)
-    s1, w1 = round_of(b, now)
+    """The difference that a change, or given placements, make to the next round: the lists `starts`, `waits`,
+    `moves`, `impossible` and `stops` by queue, and the number of `unchanged` starts."""
+    present, now = read_picture(picture)
+    changed, _ = read_picture(json.loads(json.dumps(picture)))
+    present_workers = {attempt.task: attempt.worker for attempt in changed.legs.values()}
+    apply(changed, change, now)
+    starts_now, reasons_now = round_of(present, now)
+    starts_then, reasons_then = round_of(changed, now)
     if placements is not None:
-        s1 = placed(b, placements)
-        w1 = {t.id: "not placed" for ts in b.ready.values() for t in ts.values() if t.id not in s1}
-    lane = {t: j.lane for r in (a, b) for j in r.jobs.values() for t in j.tasks}
-    lost = {t: w for t, w in before.items() if w in change.lose}
+        starts_then = placed(changed, placements)
+        reasons_then = {
+            task.id: "not placed"
+            for tasks in changed.ready.values()
+            for task in tasks.values()
+            if task.id not in starts_then
+        }
+    lane_of = {
+        task: job.lane for record in (present, changed) for job in record.jobs.values() for task in job.tasks
+    }
+    lost = {task: worker for task, worker in present_workers.items() if worker in change.lose}
     return {
         "at": now,
-        "version": a.charter["version"],
-        "starts": rows_of({t: w for t, w in s1.items() if t not in s0}, lane),
-        "waits": rows_of({t: w1[t] for t in s0 if t in w1 and w1[t] != "never"}, lane),
+        "version": present.charter["version"],
+        "starts": rows_of(
+            {task: worker for task, worker in starts_then.items() if task not in starts_now}, lane_of
+        ),
+        "waits": rows_of(
+            {
+                task: reasons_then[task]
+                for task in starts_now
+                if task in reasons_then and reasons_then[task] != "never"
+            },
+            lane_of,
+        ),
         "moves": rows_of(
             {
-                t: [s0.get(t) or lost.get(t), s1[t]]
-                for t in s1
-                if (s0.get(t) or lost.get(t) or s1[t]) != s1[t]
+                task: [starts_now.get(task) or lost.get(task), starts_then[task]]
+                for task in starts_then
+                if (starts_now.get(task) or lost.get(task) or starts_then[task]) != starts_then[task]
             },
-            lane,
+            lane_of,
         ),
         "impossible": rows_of(
-            {t: "never" for t, y in w1.items() if y == "never" and w0.get(t) != "never"}, lane
+            {
+                task: "never"
+                for task, reason in reasons_then.items()
+                if reason == "never" and reasons_now.get(task) != "never"
+            },
+            lane_of,
         ),
-        "stops": rows_of(lost, lane),
-        "unchanged": sum(1 for t in s1 if s0.get(t) == s1[t]),
+        "stops": rows_of(lost, lane_of),
+        "unchanged": sum(1 for task in starts_then if starts_now.get(task) == starts_then[task]),
     }
 
 
-def rows_of(d, lane):
+def rows_of(values, lane):
+    """{queue: [[task, value]]} of {task: value}."""
     out = {}
-    for t, x in sorted(d.items()):
-        out.setdefault(lane.get(t, ""), []).append([t, x])
+    for task, value in sorted(values.items()):
+        out.setdefault(lane.get(task, ""), []).append([task, value])
     return out
 
 
 class PlanCommand(AheadMixin, Command):
+    """Shows what a change would move."""
+
     name = "plan"
-    description = "Show what a change of lanes or workers would move, changing nothing."
+    description = "Show what a change of queues or workers would move, changing nothing."
     options = [
-        option("mast", None, "IP:port of a mast's HTTP.", flag=False),
-        option("fleet", None, "fleet.json or its folder.", flag=False, default="run"),
-        option("picture", None, "A saved picture instead of the present record.", flag=False),
+        option("mast", None, "IP:port of a gateway's HTTP.", flag=False),
+        option("fleet", None, "fleet.json or its directory.", flag=False, default="run"),
+        option("picture", None, "A saved snapshot, in place of the present record.", flag=False),
         option(
             "placements",
             None,
-            "What solve --picture --save found: shows it against the desk's own next round.",
+            "Output of solve --picture --save, to compare with the scheduler's own next round.",
             flag=False,
         ),
-        option("save", None, "Save the picture that was used.", flag=False),
+        option("save", None, "File to save the snapshot in that was used.", flag=False),
         option("change", None, "JSON file: base, rows, whole, drain, lose, add.", flag=False),
-        option("drain", None, "A worker to drain, may be given again.", flag=False, multiple=True),
-        option("lose", None, "A worker to lose, may be given again.", flag=False, multiple=True),
+        option("drain", None, "A worker to drain; may be repeated.", flag=False, multiple=True),
+        option("lose", None, "A worker to lose; may be repeated.", flag=False, multiple=True),
         option("lose-zone", None, "Lose every worker of a zone.", flag=False),
-        option("ahead", None, "Seconds to run ahead: what then waits how long.", flag=False),
+        option("ahead", None, "Seconds to forecast: how long tasks then wait.", flag=False),
         option(
             "durations",
             None,
-            "For --ahead: histories of a crew and a crowd; else what the record's ended jobs show.",
+            "For --ahead: histories of simulated workers and load generators; default: the ended jobs of the record.",
             flag=False,
             multiple=True,
         ),
-        option("seeds", None, "For --ahead: runs.", flag=False, default="5"),
-        option("drainable", None, "For --ahead: each worker drained by itself.", flag=True),
+        option("seeds", None, "For --ahead: number of runs.", flag=False, default="5"),
+        option("drainable", None, "For --ahead: drain each worker in turn, one per forecast.", flag=True),
         option("json", None, "Print JSON.", flag=True),
     ]
 
     def picture(self):
+        """The snapshot: the saved one, else from a gateway. Raises SystemExit if the gateway gives none."""
         if self.option("picture"):
             try:
-                with open(self.option("picture")) as f:
-                    return json.load(f)
-            except (OSError, ValueError) as e:
-                raise Raised(BadInput(errors=[["picture", str(e)]])) from None
+                with open(self.option("picture")) as file:
+                    return json.load(file)
+            except (OSError, ValueError) as error:
+                raise Raised(BadInput(errors=[["picture", str(error)]])) from None
 
         async def go():
-            w = Web()
+            client = Web()
             try:
-                return await w.ask(
+                return await client.ask(
                     method="GET",
                     path="/v1/picture",
                     wait=20.0,
                     addr=(self.option("mast") or read_fleet(self.option("fleet"))["masts"][0]),
                 )
             finally:
-                await w.close()
+                await client.close()
 
-        o = asyncio.run(go())
-        if isinstance(o, Failure) or o[0] != 200:
-            self.line_error(f"no picture from the mast: {o}")
+        result = asyncio.run(go())
+        if isinstance(result, Failure) or result[0] != 200:
+            self.line_error(f"no picture from the mast: {result}")
             raise SystemExit(4)
-        return o[1]
+        return result[1]
 
-    def change(self, pic):
-        d = {}
+    def change(self, picture):
+        """The change that the file and the options describe."""
+        content = {}
         if self.option("change"):
             try:
-                with open(self.option("change")) as f:
-                    d = json.load(f)
-            except (OSError, ValueError) as e:
-                raise Raised(BadInput(errors=[["change", str(e)]])) from None
-        c = read_change(d)
-        c.drain, c.lose = c.drain + self.option("drain"), c.lose + self.option("lose")
-        z = self.option("lose-zone")
-        if z:
-            ws = [i for i, w in read_picture(pic)[0].workers.items() if w.zone == z]
-            if not ws:
-                raise Raised(Unknown(what="zone", id=z))
-            c.lose = sorted({*c.lose, *ws})
-        return c
+                with open(self.option("change")) as file:
+                    content = json.load(file)
+            except (OSError, ValueError) as error:
+                raise Raised(BadInput(errors=[["change", str(error)]])) from None
+        change = read_change(content)
+        change.drain, change.lose = change.drain + self.option("drain"), change.lose + self.option("lose")
+        zone = self.option("lose-zone")
+        if zone:
+            in_zone = [
+                worker_id
+                for worker_id, worker in read_picture(picture)[0].workers.items()
+                if worker.zone == zone
+            ]
+            if not in_zone:
+                raise Raised(Unknown(what="zone", id=zone))
+            change.lose = sorted({*change.lose, *in_zone})
+        return change
 
     def placements(self):
+        """The content of the file of placements, or None without one."""
         if not self.option("placements"):
             return None
         try:
-            with open(self.option("placements")) as f:
-                return json.load(f)
-        except (OSError, ValueError) as e:
-            raise Raised(BadInput(errors=[["placements", str(e)]])) from None
+            with open(self.option("placements")) as file:
+                return json.load(file)
+        except (OSError, ValueError) as error:
+            raise Raised(BadInput(errors=[["placements", str(error)]])) from None
 
     def handle(self):
         try:
-            pic = self.picture()
+            picture = self.picture()
             if self.option("save"):
-                with open(self.option("save"), "w") as f:
-                    json.dump(pic, f)
+                with open(self.option("save"), "w") as file:
+                    json.dump(picture, file)
             if self.option("ahead"):
-                out = self.ahead(pic)
+                out = self.ahead(picture)
                 self.line(json.dumps(out)) if self.option("json") else self.show(out)
                 return 0
-            out = plan(picture=pic, change=self.change(pic), placements=self.placements())
-        except Raised as e:
-            self.line_error(repr(e.problem))
-            return 3 if isinstance(e.problem, StaleBase) else 2
+            out = plan(picture=picture, change=self.change(picture), placements=self.placements())
+        except Raised as error:
+            self.line_error(repr(error.problem))
+            return 3 if isinstance(error.problem, StaleBase) else 2
         if self.option("json"):
             self.line(json.dumps(out))
             return 0
         for what in ("starts", "waits", "moves", "impossible", "stops"):
-            n = sum(len(x) for x in out[what].values())
-            self.line(f"{what}: {n}")
+            count = sum(len(value) for value in out[what].values())
+            self.line(f"{what}: {count}")
             for lane, rows in out[what].items():
-                for t, x in rows[:20]:
-                    self.line(f"  {lane}  {t}  {x if isinstance(x, str) else ' -> '.join(x)}")
+                for task, value in rows[:20]:
+                    self.line(f"  {lane}  {task}  {value if isinstance(value, str) else ' -> '.join(value)}")
         self.line(f"unchanged: {out['unchanged']}")
         return 0
 
--- a/hollowhall/tools/plan/plan_ahead.py
+++ b/hollowhall/tools/plan/plan_ahead.py
@@ -1,44 +1,63 @@
-"""The part of the `plan` command that runs ahead in time, with and without the change, or
-with each worker drained by itself."""
+"""The part of the `plan` command that forecasts: with and without the change, or with each worker drained
+by itself."""
 
 from ...base.problems import BadInput, Raised
 from ...standins.history import read
-from .ahead import from_history, from_record, look, worst
+from .ahead import forecast, from_history, from_record, worst_outcome
 from .change import Change, apply, read_picture
 
 
 class AheadMixin:
+    """Options and output of `plan --ahead`."""
+
     def number(self, name):
-        x = self.option(name)
-        if not x.isdigit() or not 0 < int(x) <= 86_400:
+        """The value of a numeric option. Raises Raised(BadInput) outside 1 to 86400."""
+        text = self.option(name)
+        if not text.isdigit() or not 0 < int(text) <= 86_400:
             raise Raised(BadInput(errors=[[name, "a number from 1 to 86400 is wanted"]]))
-        return int(x)
+        return int(text)
 
-    def ahead(self, pic):
-        rec, now = read_picture(pic)
+    def ahead(self, picture):
+        """The forecasts that the options ask for: {without, with}, or {without, drained} with --drainable."""
+        record, now = read_picture(picture)
         try:
-            durs = (
-                from_history(read(self.option("durations"))) if self.option("durations") else from_record(rec)
+            durations = (
+                from_history(read(self.option("durations")))
+                if self.option("durations")
+                else from_record(record)
             )
-        except (OSError, KeyError, TypeError) as e:
-            raise Raised(BadInput(errors=[["durations", str(e)]])) from None
-        kw = dict(picture=pic, durs=durs, secs=self.number("ahead"), seeds=self.number("seeds"))
-        out = {"without": look(change=lambda r: None, **kw)}
+        except (OSError, KeyError, TypeError) as error:
+            raise Raised(BadInput(errors=[["durations", str(error)]])) from None
+        arguments = dict(
+            picture=picture, durations=durations, seconds=self.number("ahead"), seeds=self.number("seeds")
+        )
+        out = {"without": forecast(change=lambda copy: None, **arguments)}
         if self.option("drainable"):
             out["drained"] = {
-                i: worst(look(change=lambda r, i=i: apply(r, Change(drain=[i]), now), **kw))
-                for i in sorted(rec.workers)
+                worker: worst_outcome(
+                    forecast(
+                        change=lambda copy, worker=worker: apply(copy, Change(drain=[worker]), now),
+                        **arguments,
+                    )
+                )
+                for worker in sorted(record.workers)
             }
         else:
-            out["with"] = look(change=lambda r: apply(r, self.change(pic), now), **kw)
+            out["with"] = forecast(change=lambda copy: apply(copy, self.change(picture), now), **arguments)
         return out
 
     def show(self, out):
         for what in ("without", "with"):
-            for lane, d in out.get(what, {"lanes": {}})["lanes"].items():
+            for lane, figures in out.get(what, {"lanes": {}})["lanes"].items():
                 self.line(
-                    f"{what:8} {lane}: " + ", ".join(f"{k} {'/'.join(map(str, v))}" for k, v in d.items())
+                    f"{what:8} {lane}: "
+                    + ", ".join(f"{key} {'/'.join(map(str, values))}" for key, values in figures.items())
                 )
-        ws, left = worst(out["without"])
-        for i, (w, n) in sorted(out.get("drained", {}).items(), key=lambda x: (x[1], x[0])):
-            self.line(f"drained {i}: longest wait {w} ms ({w - ws:+}), left {n} ({n - left:+})")
+        undrained_wait, undrained_left = worst_outcome(out["without"])
+        for worker_id, (wait, left) in sorted(
+            out.get("drained", {}).items(), key=lambda row: (row[1], row[0])
+        ):
+            self.line(
+                f"drained {worker_id}: longest wait {wait} ms ({wait - undrained_wait:+}), "
+                f"left {left} ({left - undrained_left:+})"
+            )
--- a/hollowhall/tools/plan/solve_file.py
+++ b/hollowhall/tools/plan/solve_file.py
@@ -1,6 +1,6 @@
-"""The file that `solve` reads, checked by marshmallow, and a plain checker of placements
-that shares no code with the solver. A file names workers, or a saved picture gives them,
-and groups of like tasks with what they ask for; docs/solve.md is the reference."""
+"""The file that `solve` reads, checked by marshmallow, and a checker of placements that shares no code with the
+solver. A file, or a saved snapshot, names workers and groups of equal tasks with their requirements; docs/solve.md
+is the reference."""
 
 from dataclasses import dataclass, field
 
@@ -11,8 +11,8 @@
 from ...base.problems import BadInput, Raised
 from ...record.charter import ROOM0, RoomSchema, SpreadSchema
 
-FAVOURS = ("fewest-workers", "even-load", "fewest-moves")
-ROOMS = ("cores", "memMb", "gpus")
+OBJECTIVES = ("fewest-workers", "even-load", "fewest-moves")
+RESOURCES = ("cores", "memMb", "gpus")
 
 
 @dataclass(kw_only=True)
@@ -28,7 +28,8 @@
 
 @dataclass(kw_only=True)
 class Group:
-    """Like tasks that are to be placed together with all the others."""
+    """Equal tasks to place, with their constraints. `apart`, `together`: names of other groups; `pinned`: the only
+    workers allowed; `now`: {worker: tasks} of the present placement."""
 
     name: str
     tasks: int
@@ -44,29 +45,36 @@
 
 
 @dataclass(kw_only=True)
-class Riddle:
+class PlacementProblem:
+    """Workers, groups to place on them, and the objective (`favour`)."""
+
     hosts: list
     groups: list
     favour: str
 
 
-def rooms(d):
-    return [d[x] for x in ROOMS]
+def amounts_of(amounts):
+    """A mapping of amounts as a list in the order of RESOURCES."""
+    return [amounts[resource] for resource in RESOURCES]
 
 
 class HostSchema(RoomSchema):
+    """A worker in a file."""
+
     id = fields.Str(required=True, validate=NAME)
     kind = fields.Str(required=True, validate=NAME)
     zone = fields.Str(validate=validate.Length(max=64))
     rack = fields.Str(validate=validate.Length(max=64))
 
     @post_load
-    def make(self, d, **kw):
-        r = {x: d.pop(x) for x in ROOMS}
-        return Host(**d, room=rooms(r))
+    def make(self, data, **kw):
+        room = {resource: data.pop(resource) for resource in RESOURCES}
+        return Host(**data, room=amounts_of(room))
 
 
 class GroupSchema(Schema):
+    """A group in a file."""
+
     name = fields.Str(required=True, validate=validate.Length(min=1, max=200))
     tasks = fields.Int(strict=True, load_default=1, validate=validate.Range(min=1, max=constants.TASKS_MAX))
     kind = fields.Str(required=True, validate=NAME)
@@ -83,115 +91,130 @@
     )
 
     @post_load
-    def make(self, d, **kw):
-        return Group(**d | {"room": rooms(d["room"])})
+    def make(self, data, **kw):
+        return Group(**data | {"room": amounts_of(data["room"])})
 
 
-class RiddleSchema(Schema):
+class PlacementProblemSchema(Schema):
+    """A whole file."""
+
     workers = fields.List(fields.Nested(HostSchema), validate=validate.Length(max=5000))
     groups = fields.List(fields.Nested(GroupSchema), validate=validate.Length(max=5000))
-    favour = fields.Str(load_default=FAVOURS[0], validate=validate.OneOf(FAVOURS))
+    favour = fields.Str(load_default=OBJECTIVES[0], validate=validate.OneOf(OBJECTIVES))
 
     @validates_schema(skip_on_field_errors=True)
-    def names(self, d, **kw):
-        ws = [w.id for w in d.get("workers", ())]
-        gs = [g.name for g in d.get("groups", ())]
-        bad = {}
-        for what, xs in (("workers", ws), ("groups", gs)):
-            if len(set(xs)) < len(xs):
-                bad[what] = ["two share a name"]
-        for g in d.get("groups", ()):
-            for key, xs, known in (
-                ("apart", g.apart, gs),
-                ("together", g.together, gs),
-                ("pinned", g.pinned, ws),
-                ("now", g.now, ws),
+    def check_names(self, data, **kw):
+        """Rejects names that are used twice, and references to unknown groups or workers. References to workers
+        are not checked if the file names none: a snapshot gives them then."""
+        workers = [worker.id for worker in data.get("workers", ())]
+        groups = [group.name for group in data.get("groups", ())]
+        faults = {}
+        for what, values in (("workers", workers), ("groups", groups)):
+            if len(set(values)) < len(values):
+                faults[what] = ["two share a name"]
+        for group in data.get("groups", ()):
+            for key, values, known in (
+                ("apart", group.apart, groups),
+                ("together", group.together, groups),
+                ("pinned", group.pinned, workers),
+                ("now", group.now, workers),
             ):
-                no = (
-                    [x for x in xs if x not in known and known]
+                unknown = (
+                    [value for value in values if value not in known and known]
                     if key in ("pinned", "now")
-                    else [x for x in xs if x not in known or x == g.name]
+                    else [value for value in values if value not in known or value == group.name]
                 )
-                if no:
-                    bad[f"groups.{g.name}.{key}"] = [f"unknown: {', '.join(sorted(no))}"]
-        if bad:
-            raise ValidationError(bad)
+                if unknown:
+                    faults[f"groups.{group.name}.{key}"] = [f"unknown: {', '.join(sorted(unknown))}"]
+        if faults:
+            raise ValidationError(faults)
 
 
-def read_riddle(d, *, rec=None):
-    """A Riddle from a file's content; workers, and groups where the file names none, from
-    a picture's record. Every fault is listed in one typed problem."""
+def read_placement_problem(content, *, record=None):
+    """A PlacementProblem from a file's content. Workers and groups that the file does not name come from the
+    record of a snapshot. Raises Raised(BadInput) with all errors of the file."""
     try:
-        x = RiddleSchema().load(d)
-    except ValidationError as e:
-        raise Raised(BadInput(errors=flat(e=e.messages))) from None
-    hosts, groups = x.get("workers", []), x.get("groups", [])
-    if rec is not None and not hosts:
+        loaded = PlacementProblemSchema().load(content)
+    except ValidationError as error:
+        raise Raised(BadInput(errors=flat(e=error.messages))) from None
+    hosts, groups = loaded.get("workers", []), loaded.get("groups", [])
+    if record is not None and not hosts:
         hosts = [
-            Host(id=w.id, kind=w.kind, zone=w.zone, rack=w.rack, room=[a - b for a, b in zip(w.room, w.used)])
-            for w in sorted(rec.workers.values(), key=lambda w: w.id)
-            if w.state == "up"
+            Host(
+                id=worker.id,
+                kind=worker.kind,
+                zone=worker.zone,
+                rack=worker.rack,
+                room=[size - used for size, used in zip(worker.room, worker.used)],
+            )
+            for worker in sorted(record.workers.values(), key=lambda worker: worker.id)
+            if worker.state == "up"
         ]
-    if rec is not None and not groups:
-        groups = [of_step(rec, k, ts) for k, ts in sorted(rec.ready.items())]
+    if record is not None and not groups:
+        groups = [group_of_step(record, key, tasks) for key, tasks in sorted(record.ready.items())]
     if not hosts or not groups:
         raise Raised(
             BadInput(
-                errors=[[a, "none are named"] for a, b in (("workers", hosts), ("groups", groups)) if not b]
+                errors=[
+                    [key, "none are named"]
+                    for key, named in (("workers", hosts), ("groups", groups))
+                    if not named
+                ]
             )
         )
-    return Riddle(hosts=hosts, groups=groups, favour=x["favour"])
+    return PlacementProblem(hosts=hosts, groups=groups, favour=loaded["favour"])
 
 
-def of_step(rec, k, ts):
-    sp = rec.jobs[k[0]].steps[k[1]].spec
+def group_of_step(record, key, tasks):
+    """The ready tasks of a step as a group; key: (job, step)."""
+    spec = record.jobs[key[0]].steps[key[1]].spec
     return Group(
-        name="/".join(k),
-        tasks=len(ts),
-        kind=sp["kind"],
-        room=sp["room"],
-        zone=sp["zone"],
-        rack=sp["rack"],
-        spread={a: sp[a] for a in ("perWorker", "perRack") if sp[a]},
+        name="/".join(key),
+        tasks=len(tasks),
+        kind=spec["kind"],
+        room=spec["room"],
+        zone=spec["zone"],
+        rack=spec["rack"],
+        spread={field: spec[field] for field in ("perWorker", "perRack") if spec[field]},
     )
 
 
-def check_placements(riddle, placed):
-    """What is wrong with placements {group: {worker: tasks}}, as [rule, text]; looks at the
-    file's words only."""
-    bad, ws = [], {w.id: w for w in riddle.hosts}
-    used = {i: [0, 0, 0] for i in ws}
-    for g in riddle.groups:
-        at = {w: n for w, n in placed.get(g.name, {}).items() if n}
-        if sum(at.values()) != g.tasks:
-            bad.append(["tasks", f"{g.name}: {sum(at.values())} of {g.tasks} placed"])
+def check_placements(problem, placed):
+    """The violations [rule, text] of placements {group: {worker: tasks}}; uses the problem only, not the solver's
+    model."""
+    faults, hosts = [], {host.id: host for host in problem.hosts}
+    used = {worker: [0, 0, 0] for worker in hosts}
+    for group in problem.groups:
+        counts = {host: count for host, count in placed.get(group.name, {}).items() if count}
+        if sum(counts.values()) != group.tasks:
+            faults.append(["tasks", f"{group.name}: {sum(counts.values())} of {group.tasks} placed"])
         racks = {}
-        for i, n in at.items():
-            w = ws.get(i)
-            if w is None or n < 0:
-                bad.append(["worker", f"{g.name}: {n} on {i}"])
+        for worker, count in counts.items():
+            host = hosts.get(worker)
+            if host is None or count < 0:
+                faults.append(["worker", f"{group.name}: {count} on {worker}"])
                 continue
-            for a in range(3):
-                used[i][a] += n * g.room[a]
-            racks[w.rack] = racks.get(w.rack, 0) + n
+            for resource in range(3):
+                used[worker][resource] += count * group.room[resource]
+            racks[host.rack] = racks.get(host.rack, 0) + count
             for key in ("kind", "zone", "rack"):
-                if getattr(g, key) not in ("", getattr(w, key)):
-                    bad.append([key, f"{g.name} on {i}"])
-            if g.pinned and i not in g.pinned:
-                bad.append(["pinned", f"{g.name} on {i}"])
-            if g.spread.get("perWorker") and n > g.spread["perWorker"]:
-                bad.append(["perWorker", f"{g.name}: {n} on {i}"])
-        for r, n in racks.items():
-            if g.spread.get("perRack") and n > g.spread["perRack"]:
-                bad.append(["perRack", f"{g.name}: {n} on rack {r}"])
-        for h in g.apart:
-            both = [i for i in at if placed.get(h, {}).get(i)]
+                if getattr(group, key) not in ("", getattr(host, key)):
+                    faults.append([key, f"{group.name} on {worker}"])
+            if group.pinned and worker not in group.pinned:
+                faults.append(["pinned", f"{group.name} on {worker}"])
+            if group.spread.get("perWorker") and count > group.spread["perWorker"]:
+                faults.append(["perWorker", f"{group.name}: {count} on {worker}"])
+        for rack, count in racks.items():
+            if group.spread.get("perRack") and count > group.spread["perRack"]:
+                faults.append(["perRack", f"{group.name}: {count} on rack {rack}"])
+        for other in group.apart:
+            both = [worker for worker in counts if placed.get(other, {}).get(worker)]
             if both:
-                bad.append(["apart", f"{g.name} and {h} on {both[0]}"])
-        for h in g.together:
-            if set(at) != {i for i, n in placed.get(h, {}).items() if n}:
-                bad.append(["together", f"{g.name} and {h}"])
-    for i, u in used.items():
-        if any(a > b for a, b in zip(u, ws[i].room)):
-            bad.append(["room", f"{i}: {u} of {ws[i].room}"])
-    return bad
+                faults.append(["apart", f"{group.name} and {other} on {both[0]}"])
+        for other in group.together:
+            if set(counts) != {worker for worker, count in placed.get(other, {}).items() if count}:
+                faults.append(["together", f"{group.name} and {other}"])
+    for worker, amounts in used.items():
+        if any(amount > size for amount, size in zip(amounts, hosts[worker].room)):
+            faults.append(["room", f"{worker}: {amounts} of {hosts[worker].room}"])
+    return faults
--- a/tests/test_ahead.py
+++ b/tests/test_ahead.py
@@ -1,6 +1,6 @@
-"""The planner over time: against arithmetic on a small record, and against what then
-happened in simulated fleets; drained workers and lost zones; bad input is a typed
-problem. A planner that forgets the work under way is further off."""
+"""Forecasts of the planner, compared with arithmetic on a small record and with what happens in simulated
+clusters; drained workers and lost zones; bad input. They guard against a forecast that leaves out the attempts
+under way, which is less accurate."""
 
 import asyncio
 import json
@@ -13,99 +13,107 @@
 from hollowhall.base.problems import Raised
 from hollowhall.sim.world import World
 from hollowhall.standins.shapes import SHAPES
-from hollowhall.tools.plan.ahead import Ahead, from_history, from_record, look
+from hollowhall.tools.plan.ahead import ForwardRun, forecast, from_history, from_record
 from hollowhall.tools.plan.change import Change, apply
 from hollowhall.tools.plan.plan import PlanCommand
 
 
-def run(t, durs, secs, seed=1):
-    return Ahead(rec=t.rec, now=t.st >> constants.LOGICAL_BITS, durs=durs, seed=seed).run(secs=secs)
+def forward_run(table, durations, seconds, seed=1):
+    """The figures of one forecast from a table's record."""
+    return ForwardRun(
+        record=table.rec, now=table.st >> constants.LOGICAL_BITS, durations=durations, seed=seed
+    ).run(seconds=seconds)
 
 
 def test_waves_of_equal_tasks():
-    t = Table(workers=2)  # 16 cores, 40 tasks of 2: waves of 8, each 1 s
-    t.job("j", tasks=40, cores=2)
-    d = run(t, {("a", "s"): [1000] * 3}, 3.5)["lanes"]["a"]
-    assert (d["started"], d["ended"], d["left"]) == (32, 24, 8)
-    assert d["wait ms, worst"] == 3500 and d["wait ms, median"] in (1000, 2000)
+    table = Table(workers=2)  # 16 cores, 40 tasks of 2: waves of 8, each 1 s
+    table.job("j", tasks=40, cores=2)
+    figures = forward_run(table, {("a", "s"): [1000] * 3}, 3.5)["lanes"]["a"]
+    assert (figures["started"], figures["ended"], figures["left"]) == (32, 24, 8)
+    assert figures["wait ms, worst"] == 3500 and figures["wait ms, median"] in (1000, 2000)
 
 
 def test_what_ended_jobs_show_of_durations():
-    t = Table()
-    for n in range(4):
-        t.job(f"j{n}")
-    _, runs = t.turn()
-    t.tick(700)
-    for r in runs.values():
-        t.end(r)
-    got = from_record(t.rec)["a", "s"]
-    assert len(got) == 4 and all(690 <= x <= 710 for x in got)
+    table = Table()
+    for number in range(4):
+        table.job(f"j{number}")
+    _, runs = table.turn()
+    table.tick(700)
+    for run_id in runs.values():
+        table.end(run_id)
+    samples = from_record(table.rec)["a", "s"]
+    assert len(samples) == 4 and all(690 <= ms <= 710 for ms in samples)
     with pytest.raises(Raised):
-        t.job("other", "b")
-        run(t, {}, 5)
+        table.job("other", "b")
+        forward_run(table, {}, 5)
 
 
 @pytest.fixture(scope="module")
 def fleets():
-    """(picture, its moment, tasks that then ended and started in 6 s, rows) by seed."""
-    out = []
+    """For each seed: (snapshot, tasks that ended and tasks that started in the 6 s after it, rows of the history)."""
+    measured = []
     for seed in (1, 2, 3):
-        w = World(seed=seed, shape=SHAPES["cymylau"], masts=2)
-
-        async def go(w=w):
-            w.start_all()
-            op, req = w.operator(tag="op"), w.requester(tag="r")
-            await op.found(lanes=w.shape.lanes)
-            w.add_crew()
-            await req.run(mix=w.shape.mix, seconds=8, settle=12, times=1)
-            ts = [asyncio.ensure_future(req.send(body=w.shape.mix[n % 3][0](req.rng))) for n in range(400)]
-            await asyncio.gather(*ts)
-            st, pic, _ = await op.ask("picture", "GET", "/v1/picture")
-            assert st == 200
-            t = w.hist.now()
+        world = World(seed=seed, shape=SHAPES["cymylau"], masts=2)
+
+        async def go(world=world):
+            world.start_all()
+            operator, requester = world.operator(tag="op"), world.requester(tag="r")
+            await operator.found(lanes=world.shape.lanes)
+            world.add_crew()
+            await requester.run(mix=world.shape.mix, seconds=8, settle=12, times=1)
+            requests = [
+                asyncio.ensure_future(requester.send(body=world.shape.mix[number % 3][0](requester.rng)))
+                for number in range(400)
+            ]
+            await asyncio.gather(*requests)
+            status, picture, _ = await operator.ask("picture", "GET", "/v1/picture")
+            assert status == 200
+            start_ms = world.hist.now()
             await asyncio.sleep(6)
-            rows = [r for r in w.hist.rows if r["t"] > t]
+            rows = [row for row in world.hist.rows if row["t"] > start_ms]
             return (
-                pic,
-                sum(r["ev"] == "end" and r["how"] == "ok" for r in rows),
-                sum(r["ev"] == "start" for r in rows),
-                list(w.hist.rows),
+                picture,
+                sum(row["ev"] == "end" and row["how"] == "ok" for row in rows),
+                sum(row["ev"] == "start" for row in rows),
+                list(world.hist.rows),
             )
 
-        out.append(w.run(go()))
-    return out
+        measured.append(world.run(go()))
+    return measured
 
 
 def test_near_to_what_then_happened(fleets):
-    """Ended within 6 s after a crowd of 400 jobs: told from histories and from the record
-    alone; figures in docs/measurements.md."""
-    for pic, ended, _started, rows in fleets:
-        for durs in (from_history(rows), from_record(apply_none(pic))):
-            x = look(picture=pic, change=lambda r: None, durs=durs, secs=6, seeds=3)
-            told = sum(d["ended"][1] for d in x["lanes"].values())
-            assert ended > 200 and abs(told - ended) < 0.3 * ended, (told, ended)
+    """The number of tasks that end in 6 s after 400 jobs arrived, forecast with durations from histories and
+    from the record alone; figures in docs/measurements.md."""
+    for picture, ended, _started, rows in fleets:
+        for durations in (from_history(rows), from_record(record_of(picture))):
+            forecast_figures = forecast(
+                picture=picture, change=lambda record: None, durations=durations, seconds=6, seeds=3
+            )
+            forecast_ends = sum(lane["ended"][1] for lane in forecast_figures["lanes"].values())
+            assert ended > 200 and abs(forecast_ends - ended) < 0.3 * ended, (forecast_ends, ended)
 
 
-def apply_none(pic):
+def record_of(picture):
     from hollowhall.tools.plan.change import read_picture
 
-    return read_picture(pic)[0]
+    return read_picture(picture)[0]
 
 
 def test_a_lost_zone_and_drained_workers(fleets, tmp_path):
-    pic, _, _, rows = fleets[0]
-    zone = [i for i, w in apply_none(pic).workers.items() if w.zone == "z1"]
-    kw = dict(picture=pic, durs=from_history(rows), secs=4, seeds=2)
-    a = look(change=lambda r: None, **kw)
-    b = look(change=lambda r: apply(r, Change(lose=zone), pic["at"]), **kw)
-    more = [sum(d["ended"][1] for d in x["lanes"].values()) for x in (a, b)]
-    assert more[1] < more[0] and len(b["workers"]) < len(a["workers"])
-    f = tmp_path / "pic.json"
-    f.write_text(json.dumps(pic))
-    t = CommandTester(PlanCommand())
-    assert t.execute(f"--picture {f} --ahead 2 --seeds 1 --drainable") == 0
-    assert t.io.fetch_output().count("drained ") == 25
-    assert t.execute(f"--picture {f} --ahead 2 --seeds 1 --lose-zone z1 --json") == 0
-    assert t.execute(f"--picture {f} --ahead 2 --lose-zone z9") == 2
-    assert t.execute(f"--picture {f} --ahead soon") == 2
-    assert t.execute(f"--picture {f} --ahead 2 --durations {tmp_path}/none") == 2
+    picture, _, _, rows = fleets[0]
+    zone = [worker_id for worker_id, worker in record_of(picture).workers.items() if worker.zone == "z1"]
+    arguments = dict(picture=picture, durations=from_history(rows), seconds=4, seeds=2)
+    without = forecast(change=lambda record: None, **arguments)
+    lost = forecast(change=lambda record: apply(record, Change(lose=zone), picture["at"]), **arguments)
+    ended = [sum(lane["ended"][1] for lane in figures["lanes"].values()) for figures in (without, lost)]
+    assert ended[1] < ended[0] and len(lost["workers"]) < len(without["workers"])
+    file = tmp_path / "pic.json"
+    file.write_text(json.dumps(picture))
+    tester = CommandTester(PlanCommand())
+    assert tester.execute(f"--picture {file} --ahead 2 --seeds 1 --drainable") == 0
+    assert tester.io.fetch_output().count("drained ") == 25
+    assert tester.execute(f"--picture {file} --ahead 2 --seeds 1 --lose-zone z1 --json") == 0
+    assert tester.execute(f"--picture {file} --ahead 2 --lose-zone z9") == 2
+    assert tester.execute(f"--picture {file} --ahead soon") == 2
+    assert tester.execute(f"--picture {file} --ahead 2 --durations {tmp_path}/none") == 2
--- a/tests/test_solve.py
+++ b/tests/test_solve.py
@@ -1,6 +1,6 @@
-"""Placements from a file: best by brute force on small cases, conflicts in which each
-constraint is needed, the same outcome for the same seed, bad files told whole. The plain
-checker that judges them catches a planted violation of each rule."""
+"""Placements for a file of constraints: as good as those of brute force on small cases, conflicts in which each
+constraint is needed, the same result for the same seed, all errors of a bad file reported. The checker of
+placements detects a violation of each rule."""
 
 import itertools
 import json
@@ -15,100 +15,112 @@
 from hollowhall.tools.plan.change import Change
 from hollowhall.tools.plan.plan import plan
 from hollowhall.tools.plan.solve import Model, SolveCommand, solve
-from hollowhall.tools.plan.solve_file import FAVOURS, check_placements, read_riddle
+from hollowhall.tools.plan.solve_file import OBJECTIVES, check_placements, read_placement_problem
 
 
-def riddle(r, favour):
-    ws = [
+def random_problem(generator, favour):
+    """A problem of three workers and two groups."""
+    workers = [
         {
             "id": f"w{i}",
-            "kind": r.choice("aab"),
+            "kind": generator.choice("aab"),
             "zone": f"z{i % 2}",
             "rack": f"r{i % 2}",
-            "cores": r.randint(2, 5),
+            "cores": generator.randint(2, 5),
             "memMb": 10,
         }
         for i in range(3)
     ]
-    gs = []
-    for k in range(2):
-        g = {
-            "name": f"g{k}",
-            "tasks": r.randint(1, 3),
-            "kind": r.choice("aab"),
-            "room": {"cores": r.randint(1, 2), "memMb": r.randint(0, 4)},
-            "now": {"w0": r.randint(0, 2), "w1": 1},
+    groups = []
+    for number in range(2):
+        group = {
+            "name": f"g{number}",
+            "tasks": generator.randint(1, 3),
+            "kind": generator.choice("aab"),
+            "room": {"cores": generator.randint(1, 2), "memMb": generator.randint(0, 4)},
+            "now": {"w0": generator.randint(0, 2), "w1": 1},
         }
-        x = r.random()
-        if x < 0.3:
-            g["spread"] = {"perWorker": r.randint(1, 2)}
-        elif x < 0.5:
-            g["spread"] = {"perRack": r.randint(1, 2)}
-        elif x < 0.6:
-            g["zone"] = "z0"
-        elif x < 0.7:
-            g["pinned"] = ["w1", "w2"]
-        if k and r.random() < 0.5:
-            g[r.choice(["apart", "together"])] = ["g0"]
-        gs.append(g)
-    return read_riddle({"workers": ws, "groups": gs, "favour": favour})
-
-
-def every(x):
-    """All ways to place all tasks."""
-    ids = [w.id for w in x.hosts]
-    per = [
+        choice = generator.random()
+        if choice < 0.3:
+            group["spread"] = {"perWorker": generator.randint(1, 2)}
+        elif choice < 0.5:
+            group["spread"] = {"perRack": generator.randint(1, 2)}
+        elif choice < 0.6:
+            group["zone"] = "z0"
+        elif choice < 0.7:
+            group["pinned"] = ["w1", "w2"]
+        if number and generator.random() < 0.5:
+            group[generator.choice(["apart", "together"])] = ["g0"]
+        groups.append(group)
+    return read_placement_problem({"workers": workers, "groups": groups, "favour": favour})
+
+
+def all_placements(problem):
+    """All ways to place all tasks, with or without violations."""
+    ids = [host.id for host in problem.hosts]
+    ways = [
         [
-            dict(zip(ids, c))
-            for c in itertools.product(range(g.tasks + 1), repeat=len(ids))
-            if sum(c) == g.tasks
+            dict(zip(ids, counts))
+            for counts in itertools.product(range(group.tasks + 1), repeat=len(ids))
+            if sum(counts) == group.tasks
         ]
-        for g in x.groups
+        for group in problem.groups
     ]
-    for c in itertools.product(*per):
-        yield {g.name: d for g, d in zip(x.groups, c)}
+    for counts in itertools.product(*ways):
+        yield {group.name: way for group, way in zip(problem.groups, counts)}
 
 
-def worth(x, p):
-    if x.favour == "fewest-workers":
-        return len({w for d in p.values() for w, n in d.items() if n})
-    if x.favour == "fewest-moves":
-        return sum(max(0, n - p[g.name].get(w, 0)) for g in x.groups for w, n in g.now.items())
-    top = 0
-    for w in x.hosts:
-        for a in range(3):
-            u = sum(g.room[a] * p[g.name].get(w.id, 0) for g in x.groups)
-            top = max(top, -(-1000 * u // w.room[a]) if w.room[a] else 0)
-    return top
+def objective_value(problem, placements):
+    """What the solver is to minimize, computed without it."""
+    if problem.favour == "fewest-workers":
+        return len({host for counts in placements.values() for host, count in counts.items() if count})
+    if problem.favour == "fewest-moves":
+        return sum(
+            max(0, count - placements[group.name].get(host, 0))
+            for group in problem.groups
+            for host, count in group.now.items()
+        )
+    highest = 0
+    for host in problem.hosts:
+        for resource in range(3):
+            used = sum(
+                group.room[resource] * placements[group.name].get(host.id, 0) for group in problem.groups
+            )
+            highest = max(highest, -(-1000 * used // host.room[resource]) if host.room[resource] else 0)
+    return highest
 
 
-@pytest.mark.parametrize("favour", FAVOURS)
+@pytest.mark.parametrize("favour", OBJECTIVES)
 def test_as_good_as_brute_force(favour):
-    r, seen = random.Random(FAVOURS.index(favour)), {"best": 0, "infeasible": 0}
+    generator, seen = random.Random(OBJECTIVES.index(favour)), {"best": 0, "infeasible": 0}
     for _ in range(60):
-        x = riddle(r, favour)
-        good = [worth(x, p) for p in every(x) if not check_placements(x, p)]
-        out = solve(x, secs=20)
+        problem = random_problem(generator, favour)
+        values = [
+            objective_value(problem, placements)
+            for placements in all_placements(problem)
+            if not check_placements(problem, placements)
+        ]
+        out = solve(problem, seconds=20)
         seen[out["status"]] += 1
-        assert (out["status"] == "best") == bool(good)
-        if good:
-            assert out["wrong"] == [] and out["value"] == out["bound"] == min(good)
+        assert (out["status"] == "best") == bool(values)
+        if values:
+            assert out["wrong"] == [] and out["value"] == out["bound"] == min(values)
         else:
-            needed(x, out)
+            assert_each_needed(problem, out)
     assert min(seen.values()) >= 8, seen
 
 
-def needed(x, out):
-    """The conflict cannot be met, and without any one of its names it can."""
+def assert_each_needed(problem, out):
+    """Asserts that the constraints of a conflict cannot all be satisfied, and that they can without any one of them."""
     names = set(out["conflict"])
-    assert out["eachNeeded"] and names <= set(Model(riddle=x).names)
-    for less, want in [(names, False)] + [(names - {n}, True) for n in names]:
-        m = Model(riddle=x, only=less)
-        assert (m.run(secs=5, seed=1)[1] != m.cp.INFEASIBLE) == want
+    assert out["eachNeeded"] and names <= set(Model(problem=problem).names)
+    for kept, satisfiable in [(names, False)] + [(names - {name}, True) for name in names]:
+        model = Model(problem=problem, only=kept)
+        assert (model.run(seconds=5, seed=1)[1] != model.cp_model.INFEASIBLE) == satisfiable
 
 
 def test_a_conflict_by_name():
-    x = read_riddle(
+    problem = read_placement_problem(
         {
             "workers": [
                 {"id": "w1", "kind": "a", "cores": 8, "rack": "r1"},
@@ -121,30 +133,33 @@
             ],
         }
     )
-    assert set(solve(x)["conflict"]) == {"web: tasks", "web: kind", "web: perRack"}
+    assert set(solve(problem)["conflict"]) == {"web: tasks", "web: kind", "web: perRack"}
 
 
 def test_the_same_seed_is_the_same_outcome_and_the_limit_is_kept():
-    r = random.Random(3)
-    gs = [
+    generator = random.Random(3)
+    groups = [
         {
             "name": f"g{i}",
-            "tasks": r.randint(1, 9),
-            "kind": r.choice(["tile", "nowcast"]),
-            "room": {"cores": r.randint(1, 9), "memMb": r.randint(1, 9000)},
+            "tasks": generator.randint(1, 9),
+            "kind": generator.choice(["tile", "nowcast"]),
+            "room": {"cores": generator.randint(1, 9), "memMb": generator.randint(1, 9000)},
             "spread": {"perWorker": 2},
         }
         for i in range(12)
     ]
-    ws = [{"id": i, "kind": k, "zone": z, "rack": rk, **rm} for i, k, z, rk, rm in crew_of(CYMYLAU)]
-    d = {"workers": ws, "groups": gs, "favour": "even-load"}
-    a, b = [solve(read_riddle(d), secs=2, seed=5) for _ in range(2)]
-    assert a["wrong"] == [] and a["status"] in ("best", "found")
-    assert a["status"] != "best" or a == b
-    x = Model(riddle=read_riddle(d))
-    x.favour()
-    s, _ = x.run(secs=0.2, seed=5)
-    assert s.wall_time < 10
+    workers = [
+        {"id": i, "kind": kind, "zone": z, "rack": rack, **room}
+        for i, kind, z, rack, room in crew_of(CYMYLAU)
+    ]
+    content = {"workers": workers, "groups": groups, "favour": "even-load"}
+    first, second = [solve(read_placement_problem(content), seconds=2, seed=5) for _ in range(2)]
+    assert first["wrong"] == [] and first["status"] in ("best", "found")
+    assert first["status"] != "best" or first == second
+    model = Model(problem=read_placement_problem(content))
+    model.set_objective()
+    solver, _ = model.run(seconds=0.2, seed=5)
+    assert solver.wall_time < 10
 
 
 BASE = {
@@ -174,11 +189,11 @@
     ],
 )
 def test_the_checker_catches(rule, more, placed):
-    d = json.loads(json.dumps(BASE))
-    d["groups"][0] |= more
-    x = read_riddle(d)
-    assert rule in {a for a, _ in check_placements(x, {"g": placed, "h": {"w1": 1}})}
-    assert check_placements(read_riddle(BASE), {"g": {"w1": 1, "w2": 1}, "h": {"w1": 1}}) == []
+    content = json.loads(json.dumps(BASE))
+    content["groups"][0] |= more
+    problem = read_placement_problem(content)
+    assert rule in {found for found, _ in check_placements(problem, {"g": placed, "h": {"w1": 1}})}
+    assert check_placements(read_placement_problem(BASE), {"g": {"w1": 1, "w2": 1}, "h": {"w1": 1}}) == []
 
 
 def test_every_fault_of_a_file_is_told(tmp_path):
@@ -187,53 +202,55 @@
         "groups": [{"name": "g", "tasks": 0, "kind": "a", "what": 1}],
         "favour": "luck",
     }
-    with pytest.raises(Raised) as e:
-        read_riddle(bad)
-    assert {k for k, _ in e.value.problem.errors} == {
+    with pytest.raises(Raised) as raised:
+        read_placement_problem(bad)
+    assert {key for key, _ in raised.value.problem.errors} == {
         "workers.1.kind",
         "workers.1.cores",
         "groups.0.tasks",
         "groups.0.what",
         "favour",
     }
-    for d in (
+    for content in (
         [],
         {},
         {"workers": BASE["workers"]},
         BASE | {"groups": [{"name": "g", "kind": "a", "apart": ["g", "x"], "pinned": ["w9"]}] * 2},
     ):
         with pytest.raises(Raised):
-            read_riddle(d)
-    f = tmp_path / "f.json"
-    f.write_text(json.dumps(bad))
-    t = CommandTester(SolveCommand())
-    assert t.execute(str(f)) == 2 and "workers.1.cores" in t.io.fetch_error()
-    assert t.execute(f"{f} --limit soon") == 2 and t.execute(str(tmp_path / "none")) == 2
-    f.write_text(json.dumps(BASE))
+            read_placement_problem(content)
+    file = tmp_path / "f.json"
+    file.write_text(json.dumps(bad))
+    tester = CommandTester(SolveCommand())
+    assert tester.execute(str(file)) == 2 and "workers.1.cores" in tester.io.fetch_error()
+    assert tester.execute(f"{file} --limit soon") == 2 and tester.execute(str(tmp_path / "none")) == 2
+    file.write_text(json.dumps(BASE))
     out = tmp_path / "out.json"
-    assert t.execute(f"{f} --save {out}") == 0 and json.loads(out.read_text())["value"] == 1
-    f.write_text(json.dumps(BASE | {"favour": "fewest-moves", "groups": [{"name": "g", "kind": "none"}]}))
-    assert t.execute(str(f)) == 1
+    assert tester.execute(f"{file} --save {out}") == 0 and json.loads(out.read_text())["value"] == 1
+    file.write_text(json.dumps(BASE | {"favour": "fewest-moves", "groups": [{"name": "g", "kind": "none"}]}))
+    assert tester.execute(str(file)) == 1
 
 
 def test_a_picture_is_solved_and_handed_to_plan():
     from test_pictures import go_on, grown
 
-    r = random.Random(4)
-    rec, st, evs = grown(Record, r)
-    for ev in evs:
-        st += 1
-        getattr(rec, "ev_" + ev[0])(st, *ev[1:])
-    go_on(rec, st, r)
-    x = read_riddle({"favour": "even-load"}, rec=rec)
-    out = solve(x, secs=5)
-    assert out["wrong"] == [] and len(x.groups) == len(rec.ready) > 20
-    p = plan(picture={"record": rec.pack(), "at": st >> 18}, change=Change(), placements=out)
-    n = sum(len(v) for k in ("starts", "moves") for v in p[k].values()) + p["unchanged"]
-    assert n >= sum(len(ts) for ts in rec.ready.values()) and p["moves"]
+    generator = random.Random(4)
+    record, stamp, events = grown(Record, generator)
+    for event in events:
+        stamp += 1
+        getattr(record, "ev_" + event[0])(stamp, *event[1:])
+    go_on(record, stamp, generator)
+    problem = read_placement_problem({"favour": "even-load"}, record=record)
+    out = solve(problem, seconds=5)
+    assert out["wrong"] == [] and len(problem.groups) == len(record.ready) > 20
+    planned = plan(picture={"record": record.pack(), "at": stamp >> 18}, change=Change(), placements=out)
+    count = (
+        sum(len(rows) for key in ("starts", "moves") for rows in planned[key].values()) + planned["unchanged"]
+    )
+    assert count >= sum(len(tasks) for tasks in record.ready.values()) and planned["moves"]
     with pytest.raises(Raised):
         plan(
-            picture={"record": rec.pack(), "at": 0},
+            picture={"record": record.pack(), "at": 0},
             change=Change(),
             placements={"placements": {"no/such": {"w": 1}}},
         )
