--- a/hollowhall/tools/explain/__init__.py
+++ b/hollowhall/tools/explain/__init__.py
@@ -1,1 +1,1 @@
-"""What the scheduler's log tells of its decisions (docs/decisions.md, docs/operators.md)."""
+"""Reports on the scheduler's decisions from its log (docs/decisions.md, docs/operators.md)."""
--- a/hollowhall/tools/explain/command.py
+++ b/hollowhall/tools/explain/command.py
@@ -1,4 +1,4 @@
-"""`hollowhall explain`: one job's story, or a table of a whole log."""
+"""`hollowhall explain`: reports on one job, or summarizes a whole log."""
 
 import sys
 
@@ -11,11 +11,11 @@
 from .summary import causes, summarise
 
 BAD_FLAGS, FOUND_NOTHING = 2, 1  # exit codes
-LATEST = 10  # jobs of a queue that are listed, those that came latest
+LATEST = 10  # number of jobs listed per queue, the latest first
 
 
 def read_rows(files):
-    """Trace rows and raw lines of all files; '-' is standard input."""
+    """(trace rows, raw lines) of all files; '-' is standard input."""
     rows, lines = [], []
     for name in files:
         stream = sys.stdin if name == "-" else open(name, errors="replace")
@@ -29,19 +29,21 @@
 
 
 class ExplainCommand(Command):
+    """Explains from the scheduler's log why jobs were late and which work was discarded."""
+
     name = "explain"
-    description = "Tells from the scheduler's logs why jobs came late and what work was thrown away"
+    description = "Explain from the scheduler's logs why jobs were late and which work was thrown away"
     arguments = [argument("logs", "log files; - for standard input", multiple=True)]
     options = [
-        option("job", None, "the story of this job alone", flag=False),
-        option("plot", None, "plots jobs that ended in aim, over time", flag=True),
+        option("job", None, "report on this job alone", flag=False),
+        option("plot", None, "plot the share of jobs that ended within their aim, over time", flag=True),
     ]
 
     def handle(self):
         try:
             rows, lines = read_rows(self.argument("logs"))
-        except OSError as e:
-            self.line_error(f"{e.filename}: {e.strerror}")
+        except OSError as error:
+            self.line_error(f"{error.filename}: {error.strerror}")
             return BAD_FLAGS
         if self.option("job"):
             return self.tell_job(self.option("job"), rows, lines)
@@ -58,10 +60,10 @@
         return 0
 
     def tell_job(self, name, rows, lines):
-        """All that the logs hold of one job."""
-        job = next((r for r in rows if isinstance(r, TracedJob) and r.name == name), None)
-        told = [text for text in lines if name in text]
-        if not told:
+        """Prints all that the logs contain about one job; returns the exit code."""
+        job = next((row for row in rows if isinstance(row, TracedJob) and row.name == name), None)
+        job_lines = [text for text in lines if name in text]
+        if not job_lines:
             self.line_error(f"these logs hold nothing of job {name}")
             return FOUND_NOTHING
         if job is not None:
@@ -75,37 +77,46 @@
             ):
                 parts = ", ".join(f"{cause} {value} {unit}" for cause, value in found.items())
                 self.line(f"  {title}: {parts or 'nothing'}")
-        for text in told:
+        for text in job_lines:
             self.line(text)
         return 0
 
     def show_queues(self, summaries):
+        """Prints a table of the queues."""
         table = self.table()
         table.set_headers(["queue", "ended", "in aim", "failed", "thrown away, core-s"])
         table.set_rows(
             [
-                [name, str(s.ended), str(s.in_aim), str(s.failed), str(sum(s.thrown_away.values()))]
-                for name, s in sorted(summaries.items())
+                [
+                    name,
+                    str(summary.ended),
+                    str(summary.in_aim),
+                    str(summary.failed),
+                    str(sum(summary.thrown_away.values())),
+                ]
+                for name, summary in sorted(summaries.items())
             ]
         )
         table.render()
 
     def show_causes(self, summaries, kind, unit):
+        """Prints a table of the causes of `kind`, a field of QueueSummary, by queue."""
         names = causes(summaries, kind)
         if not names:
             return
-        per = 1000 if unit == "s" else 1
+        divisor = 1000 if unit == "s" else 1
         table = self.table()
         table.set_headers([f"{kind.replace('_', ' ')}, {unit}", *names])
         table.set_rows(
             [
-                [queue, *(f"{getattr(s, kind).get(name, 0) / per:.1f}" for name in names)]
-                for queue, s in sorted(summaries.items())
+                [queue, *(f"{getattr(summary, kind).get(name, 0) / divisor:.1f}" for name in names)]
+                for queue, summary in sorted(summaries.items())
             ]
         )
         table.render()
 
     def show_latest(self, summaries):
+        """Prints the jobs that missed their aim by most, for each queue."""
         for queue, summary in sorted(summaries.items()):
             latest = sorted(summary.late, key=lambda job: job.aim_ms - job.took_ms)[:LATEST]
             for job in latest:
@@ -116,15 +127,17 @@
                 )
 
     def plot(self, rows):
-        """The share of jobs that ended in aim, by the lines of each queue in their order."""
+        """Plots the share of jobs that ended within their aim; one point per trace line of a queue, in order."""
         series = []
-        for queue in sorted({r.queue for r in rows}):
-            lines = [r for r in rows if r.queue == queue and not isinstance(r, TracedJob) and r.ended]
-            series.append((queue, list(range(len(lines))), [r.in_aim / r.ended for r in lines]))
+        for queue in sorted({row.queue for row in rows}):
+            lines = [
+                row for row in rows if row.queue == queue and not isinstance(row, TracedJob) and row.ended
+            ]
+            series.append((queue, list(range(len(lines))), [row.in_aim / row.ended for row in lines]))
         try:
             self.line(share_plot(title="share of jobs that ended in aim, line by line", series=series))
-        except Raised as e:
-            self.line_error(f"{e.problem.what} is wanted: pip install {e.problem.extra}")
+        except Raised as error:
+            self.line_error(f"{error.problem.what} is wanted: pip install {error.problem.extra}")
 
 
 EXPLAIN = [ExplainCommand]
--- a/hollowhall/tools/explain/lines.py
+++ b/hollowhall/tools/explain/lines.py
@@ -1,5 +1,5 @@
-"""Reads the scheduler's trace out of log lines, whoever wrote them: a daemon's own log, or what a test
-bench prints with a time and a machine's name in front. Lines that are no trace are passed over."""
+"""Parses the scheduler's trace from log lines: those of a daemon's own log, or those that a test bench prints
+with a time and a machine's name in front. Other lines are skipped."""
 
 import re
 from dataclasses import dataclass, field
@@ -12,7 +12,8 @@
 
 @dataclass(kw_only=True)
 class TracedJob:
-    """A job that ended after its aim or lost work; times in ms, `thrown_away` in core-seconds."""
+    """A job that ended after its aim or lost work. Times in ms, `thrown_away` in core-seconds; `lead` is the text in
+    front of the event."""
 
     name: str
     queue: str
@@ -37,7 +38,7 @@
 
 @dataclass(kw_only=True)
 class QueueLine:
-    """One line of a queue: what ended in the last seconds."""
+    """One periodic line of a queue: the jobs that ended since the line before."""
 
     queue: str
     ended: int
@@ -49,8 +50,8 @@
     lead: str = ""
 
 
-def counts(text):
-    """'room:1200,turn:80' as a mapping of numbers; '-' is none."""
+def parse_counts(text):
+    """Parses 'room:1200,turn:80' into {name: number}; '-' is empty."""
     out = {}
     for part in text.split(","):
         name, _, value = part.rpartition(":")
@@ -59,7 +60,8 @@
     return out
 
 
-def whole(fields, name):
+def int_field(fields, name):
+    """An integer field; 0 if it is absent or malformed."""
     try:
         return int(fields.get(name, "0"))
     except ValueError:
@@ -67,7 +69,7 @@
 
 
 def read_line(text):
-    """A TracedJob or a QueueLine, or None."""
+    """Parses one log line; None if it contains no complete trace event."""
     match = LINE.match(text)
     if match is None:
         return None
@@ -79,24 +81,24 @@
             queue=fields.get("queue", ""),
             state=fields.get("state", ""),
             steps=fields.get("steps", ""),
-            took_ms=whole(fields, "took_ms"),
-            aim_ms=whole(fields, "aim_ms"),
-            first_start_ms=whole(fields, "first_start_ms"),
-            starts=whole(fields, "starts"),
-            waits=counts(fields.get("waits", "-")),
-            stops=counts(fields.get("stops", "-")),
-            thrown_away=counts(fields.get("thrown_away", "-")),
+            took_ms=int_field(fields, "took_ms"),
+            aim_ms=int_field(fields, "aim_ms"),
+            first_start_ms=int_field(fields, "first_start_ms"),
+            starts=int_field(fields, "starts"),
+            waits=parse_counts(fields.get("waits", "-")),
+            stops=parse_counts(fields.get("stops", "-")),
+            thrown_away=parse_counts(fields.get("thrown_away", "-")),
             lead=lead,
         )
     if number == log_events.QUEUE_TRACE.no and "queue" in fields:
         return QueueLine(
             queue=fields["queue"],
-            ended=whole(fields, "ended"),
-            in_aim=whole(fields, "in_aim"),
-            failed=whole(fields, "failed"),
-            mean_ms=whole(fields, "mean_ms"),
-            waits=counts(fields.get("waits", "-")),
-            thrown_away=counts(fields.get("thrown_away", "-")),
+            ended=int_field(fields, "ended"),
+            in_aim=int_field(fields, "in_aim"),
+            failed=int_field(fields, "failed"),
+            mean_ms=int_field(fields, "mean_ms"),
+            waits=parse_counts(fields.get("waits", "-")),
+            thrown_away=parse_counts(fields.get("thrown_away", "-")),
             lead=lead,
         )
     return None
--- a/hollowhall/tools/explain/plots.py
+++ b/hollowhall/tools/explain/plots.py
@@ -1,4 +1,4 @@
-"""Plots for the terminal, by a library that only the tools need."""
+"""Plots for the terminal, with a library that only the tools need."""
 
 import importlib
 
@@ -8,8 +8,8 @@
 
 
 def share_plot(*, title, series):
-    """A plot of shares (0 to 1) as text; `series` is [(label, xs, ys)]. Raises Raised(Missing) where
-    the library is not installed."""
+    """A plot of shares (0 to 1) as text; `series` is [(label, xs, ys)]. Raises Raised(Missing) if the library is
+    not installed."""
     try:
         plotext = importlib.import_module("plotext")
     except ImportError:
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,5 +1,5 @@
-"""The trace of decisions: what the desk writes of a job that came late or lost work, and what
-`hollowhall explain` makes of it, of a daemon's log as of a bench's."""
+"""The trace of decisions: what the scheduler logs for a job that was late or lost work, and the report of
+`hollowhall explain` on it, from a daemon's log and from the output of a test bench."""
 
 from cleo.testers.command_tester import CommandTester
 from test_level_two import made, runs, step
@@ -14,6 +14,8 @@
 
 
 class Desk(TraceMixin, PaceDesk):
+    """A scheduler with the trace, without network and store."""
+
     def __init__(self, rec):
         super().__init__(rec)
         self.open_trace()
@@ -23,71 +25,73 @@
         self.record.do(*evs, ms=ms)
 
     def lines(self):
-        events = {e.no: e for e in log_events.ALL.values()}
+        events = {event.no: event for event in log_events.ALL.values()}
         return [
-            f"12:00:00 desk HH{no} {events[no].text} | " + " ".join(f"{a}={b}" for a, b in f.items())
-            for no, f in self.said
-            if no in (430, 431)
+            f"12:00:00 desk HH{number} {events[number].text} | "
+            + " ".join(f"{key}={value}" for key, value in fields.items())
+            for number, fields in self.said
+            if number in (430, 431)
         ]
 
 
 def traced(*, took=2000, how="ok", **kw):
-    d = Desk(made(steps=[step(estimateMs=400, maxFailures=1, **kw)], rows={"q": ROW}))
-    d.traced_ms = 1000
-    d.trace_waits(ms=1000 + constants.TRACE_LOOK_MS)
-    d.do(["grant", "j/0.0/0", "w0"], ms=200)
-    d.do(["end", runs(d.record)[0], how, ""], ms=took)
-    d.trace_waits(ms=1000 + took)
-    d.traced_ms = 900 + took
-    d.trace_waits(ms=1000 + took + constants.TRACE_LOOK_MS)
-    return d
+    """A scheduler that traced one job, which ended after `took` ms; its aim is 800 ms."""
+    desk = Desk(made(steps=[step(estimateMs=400, maxFailures=1, **kw)], rows={"q": ROW}))
+    desk.traced_ms = 1000
+    desk.trace_waits(ms=1000 + constants.TRACE_LOOK_MS)
+    desk.do(["grant", "j/0.0/0", "w0"], ms=200)
+    desk.do(["end", runs(desk.record)[0], how, ""], ms=took)
+    desk.trace_waits(ms=1000 + took)
+    desk.traced_ms = 900 + took
+    desk.trace_waits(ms=1000 + took + constants.TRACE_LOOK_MS)
+    return desk
 
 
 def test_a_late_job_leaves_a_line_with_what_it_waited_for():
-    (job,) = [x for x in map(read_line, traced().lines()) if hasattr(x, "name")]
+    (job,) = [row for row in map(read_line, traced().lines()) if hasattr(row, "name")]
     assert (job.name, job.verdict, job.took_ms, job.aim_ms) == ("j", "late", 2000, 800)
     assert job.waits == {"turn": constants.TRACE_LOOK_MS} and job.starts == 1 and job.first_start_ms == 200
 
 
 def test_a_job_in_its_aim_leaves_none_but_counts():
-    d = traced(took=500)
-    assert not [x for x in map(read_line, d.lines()) if hasattr(x, "name")]
-    assert d.queue_traces["q"].ended == 1 and d.queue_traces["q"].in_aim == 1 and not d.traces
+    desk = traced(took=500)
+    assert not [row for row in map(read_line, desk.lines()) if hasattr(row, "name")]
+    assert desk.queue_traces["q"].ended == 1 and desk.queue_traces["q"].in_aim == 1 and not desk.traces
 
 
 def test_what_a_failure_threw_away_is_told_with_its_cause():
-    (job,) = [x for x in map(read_line, traced(how="bad").lines()) if hasattr(x, "name")]
+    (job,) = [row for row in map(read_line, traced(how="bad").lines()) if hasattr(row, "name")]
     assert job.verdict == "failed" and job.thrown_away == {"bad": 2}
 
 
 def test_a_job_that_has_ended_is_not_traced_again():
-    d = traced()
-    d.note_attempt(attempt=type("A", (), {"job": "j", "stop": ""})(), how="ok", ms=9000)
-    assert not d.traces
+    desk = traced()
+    desk.note_attempt(attempt=type("A", (), {"job": "j", "stop": ""})(), how="ok", ms=9000)
+    assert not desk.traces
 
 
 def test_a_job_cancelled_before_it_began_is_forgotten():
-    d = Desk(made(steps=[step()], rows={"q": ROW}))
-    d.traced_ms = 1000
-    d.trace_waits(ms=1000 + constants.TRACE_LOOK_MS)
-    assert list(d.traces) == ["j"]
-    d.do(["cancel", "j"], ms=300)
-    d.trace_waits(ms=1500)
-    assert not d.traces
+    desk = Desk(made(steps=[step()], rows={"q": ROW}))
+    desk.traced_ms = 1000
+    desk.trace_waits(ms=1000 + constants.TRACE_LOOK_MS)
+    assert list(desk.traces) == ["j"]
+    desk.do(["cancel", "j"], ms=300)
+    desk.trace_waits(ms=1500)
+    assert not desk.traces
 
 
 def test_the_memory_of_the_trace_is_bounded(monkeypatch):
     monkeypatch.setattr(constants, "TRACES_MOST", 0)
-    d = Desk(made(steps=[step()]))
-    d.do(["grant", "j/0.0/0", "w0"], ms=200)
-    assert not d.traces
+    desk = Desk(made(steps=[step()]))
+    desk.do(["grant", "j/0.0/0", "w0"], ms=200)
+    assert not desk.traces
 
 
 def test_the_command_adds_up_and_tells_one_story(tmp_path):
     log = tmp_path / "desk.log"
-    d = traced()
-    d.tell_queues()
-    log.write_text("noise\n" + "\n".join("  3.21 core-1 " + x for x in d.lines()) + "\n")
+    desk = traced()
+    desk.tell_queues()
+    log.write_text("noise\n" + "\n".join("  3.21 core-1 " + line for line in desk.lines()) + "\n")
     command = CommandTester(ExplainCommand())
     assert command.execute(f"{log} --plot") == 0
     out = command.io.fetch_output()
