--- a/hollowhall/tools/explain/command.py
+++ b/hollowhall/tools/explain/command.py
@@ -11,7 +11,7 @@
 from .summary import causes, summarise
 
 BAD_FLAGS, FOUND_NOTHING = 2, 1  # exit codes
-LATEST = 10  # number of jobs listed per queue, the latest first
+LISTED_JOBS = 10  # per queue, the latest first
 
 
 def read_rows(files):
@@ -118,7 +118,7 @@
     def show_latest(self, summaries):
         """Prints the jobs that missed their aim by most, for each queue."""
         for queue, summary in sorted(summaries.items()):
-            latest = sorted(summary.late, key=lambda job: job.aim_ms - job.took_ms)[:LATEST]
+            latest = sorted(summary.late, key=lambda job: job.aim_ms - job.took_ms)[:LISTED_JOBS]
             for job in latest:
                 waits = ",".join(f"{cause}:{ms}" for cause, ms in job.waits.items()) or "-"
                 self.line(
--- a/hollowhall/tools/operate/reservations.py
+++ b/hollowhall/tools/operate/reservations.py
@@ -8,7 +8,7 @@
 from ...record.reservations import RELEASED
 from .commands import OperateCommand, common
 
-ROOM = ("cores", "memMb", "gpus")
+RESOURCES = ("cores", "memMb", "gpus")
 
 
 def unix_ms(text):
@@ -20,7 +20,7 @@
 
 
 def one_line(reservation):
-    size = " ".join(f"{key}:{reservation['room'][key]}" for key in ROOM if reservation["room"][key])
+    size = " ".join(f"{key}:{reservation['room'][key]}" for key in RESOURCES if reservation["room"][key])
     where = "".join(f"  {key} {reservation[key]}" for key in ("zone", "label") if reservation[key])
     return (
         f"{reservation['name']}  {reservation['state']}  {reservation['count']} x {size}  {reservation['kind']}{where}  "
--- a/tests/test_ahead.py
+++ b/tests/test_ahead.py
@@ -87,10 +87,10 @@
     from the record alone; figures in docs/measurements.md."""
     for picture, ended, _started, rows in fleets:
         for durations in (from_history(rows), from_record(record_of(picture))):
-            forecast_figures = forecast(
+            figures = forecast(
                 picture=picture, change=lambda record: None, durations=durations, seconds=6, seeds=3
             )
-            forecast_ends = sum(lane["ended"][1] for lane in forecast_figures["lanes"].values())
+            forecast_ends = sum(lane["ended"][1] for lane in figures["lanes"].values())
             assert ended > 200 and abs(forecast_ends - ended) < 0.3 * ended, (forecast_ends, ended)
 
 
--- a/tests/test_solve.py
+++ b/tests/test_solve.py
@@ -140,17 +140,17 @@
     generator = random.Random(3)
     groups = [
         {
-            "name": f"g{i}",
+            "name": f"g{number}",
             "tasks": generator.randint(1, 9),
             "kind": generator.choice(["tile", "nowcast"]),
             "room": {"cores": generator.randint(1, 9), "memMb": generator.randint(1, 9000)},
             "spread": {"perWorker": 2},
         }
-        for i in range(12)
+        for number in range(12)
     ]
     workers = [
-        {"id": i, "kind": kind, "zone": z, "rack": rack, **room}
-        for i, kind, z, rack, room in crew_of(CYMYLAU)
+        {"id": worker, "kind": kind, "zone": zone, "rack": rack, **room}
+        for worker, kind, zone, rack, room in crew_of(CYMYLAU)
     ]
     content = {"workers": workers, "groups": groups, "favour": "even-load"}
     first, second = [solve(read_placement_problem(content), seconds=2, seed=5) for _ in range(2)]
