--- a/hollowhall/almanac/bootstrap.py
+++ b/hollowhall/almanac/bootstrap.py
@@ -19,12 +19,12 @@
                     "t": self.term,
                     "last": self.last(),
                     "blank": self.blank,
-                    "founding": self.blank and self.params.found and self.term == 0,
+                    "founding": self.blank and self.settings.found and self.term == 0,
                     "state": self.rank,
                     "commit": self.commit,
-                    "addr": self.params.addr,
+                    "addr": self.settings.addr,
                     "conf": self.conf,
-                    "joins": self.params.join,
+                    "joins": self.settings.join,
                     "lead": self.leader,
                     "clock": self.clk is not None,
                     "applied": self.applied,
@@ -53,38 +53,38 @@
                 answers[peer] = answer.value
                 if "conf" in answer.value:
                     self.adopt_membership(answer.value["conf"])
-        if self.params.auto_members and not self.params.found and self.unknown_to_majority(answers):
+        if self.settings.auto_members and not self.settings.found and self.unknown_to_majority(answers):
             self.floor = 0
             return
         if set(answers) != set(self.peers):
-            if not self.params.found and self.heard_enough(answers):
+            if not self.settings.found and self.heard_enough(answers):
                 self.floor = max([self.term] + [status["t"] for status in answers.values()])
             return
         fresh = all(
             status["t"] == 0 and status["last"] == 0 and (status["founding"] or not status["blank"])
             for status in answers.values()
         )
-        if self.params.found and fresh and self.term == 0 and self.last() == 0:
+        if self.settings.found and fresh and self.term == 0 and self.last() == 0:
             self.blank, self.hard_dirty = False, True
             await self.wait_synced()
             self.say(log_events.FOUNDED, members=len(self.peers) + 1)
             self.become(role=FOLLOWER, why="founded")
-        elif not self.params.found or any(not status["blank"] for status in answers.values()):
+        elif not self.settings.found or any(not status["blank"] for status in answers.values()):
             if all(status["blank"] for status in answers.values()):
                 return
             self.floor = max([self.term] + [status["t"] for status in answers.values()])
-            if self.params.found:
+            if self.settings.found:
                 self.say(log_events.FOUND_REFUSED, floor=self.floor)
 
     def heard_enough(self, answers):
         """Whether every majority that this replica may have been part of includes a member that answered
-        and still has its disk, and BLANK_WAIT has passed since the start, so that no vote that it was
+        and still has its disk, and EMPTY_REPLICA_WAIT has passed since the start, so that no vote that it was
         asked for is still pending."""
         members_heard = len([peer for peer in self.voters if peer in answers and not answers[peer]["blank"]])
         return (
             self.conf["v"] > 0
             and members_heard > len(self.voters) - self.majority()
-            and self.seam.now() - self.started_at > constants.BLANK_WAIT
+            and self.runtime.now() - self.started_at > constants.EMPTY_REPLICA_WAIT
         )
 
     def count_if_caught_up(self, *, term, commit):
@@ -96,7 +96,7 @@
             or term <= self.floor
             or commit > self.last()
             or commit == 0
-            or self.params.addr not in self.voters
+            or self.settings.addr not in self.voters
         ):
             return
         self.blank, self.hard_dirty = False, True
--- a/hollowhall/almanac/clock.py
+++ b/hollowhall/almanac/clock.py
@@ -48,32 +48,37 @@
             if outcome.ok and not outcome.value["kv"]:
                 self.clock_lead = ""
                 if self.rank not in (LEADER, BLANK):  # the store's leader campaigns first
-                    await asyncio.sleep(constants.CLOCK_FIRST * (0.5 + self.seam.rng.random()))
+                    await asyncio.sleep(constants.CLOCK_CAMPAIGN_DELAY * (0.5 + self.runtime.rng.random()))
                 if not self.blank:
                     await self.clock_campaign()
             elif outcome.ok:
                 self.clock_lead = outcome.value["kv"][LEADER_KEY]["v"]
                 revision = outcome.value["rev"]
-                if self.clock_lead == self.params.addr:  # written by an earlier process at this address
+                if self.clock_lead == self.settings.addr:  # written by an earlier process at this address
                     await self.store(op="revoke", request={"hold": outcome.value["kv"][LEADER_KEY]["hold"]})
                     continue
-                await self.near(
-                    op="watch", request={"p": "clock/lead", "rev": revision}, wait=constants.WATCH_WAIT + 1
+                await self.ask_any_member(
+                    op="watch",
+                    request={"p": "clock/lead", "rev": revision},
+                    wait=constants.LONG_POLL_TIMEOUT + 1,
                 )
-            await asyncio.sleep(constants.TICK * (0.5 + self.seam.rng.random()))
+            await asyncio.sleep(constants.CLOCK_REFRESH_PERIOD * (0.5 + self.runtime.rng.random()))
 
     async def clock_campaign(self):
         """Takes a lease, tries to write the leader key and leads if that succeeds."""
-        sent_at = self.seam.now()
-        outcome = await self.store(op="grant", request={"ttl": constants.HOLD_TTL, "level": constants.LEVEL})
+        sent_at = self.runtime.now()
+        outcome = await self.store(op="grant", request={"ttl": constants.LEASE_TTL, "level": constants.LEVEL})
         if not outcome.ok:
             return
-        lease, lease_end = outcome.value["hold"], sent_at + constants.HOLD_TTL - constants.HOLD_SLACK
+        lease, lease_end = (
+            outcome.value["hold"],
+            sent_at + constants.LEASE_TTL - constants.LEASE_SAFETY_MARGIN,
+        )
         outcome = await self.store(
             op="txn",
             request={
                 "cmp": [[LEADER_KEY, "made", 0]],
-                "then": [["put", LEADER_KEY, self.params.addr, lease]],
+                "then": [["put", LEADER_KEY, self.settings.addr, lease]],
             },
         )
         if not (outcome.ok and outcome.value["yes"]):
@@ -81,7 +86,7 @@
                 await self.store(op="revoke", request={"hold": lease})
             return
         leadership = self.clk = ClockLeadership(epoch=outcome.value["rev"], lease=lease, lease_end=lease_end)
-        self.clock_lead = self.params.addr
+        self.clock_lead = self.settings.addr
         self.say(log_events.CLOCK_WON, epoch=leadership.epoch)
         keeper = asyncio.ensure_future(self.keep_clock_lease(leadership))
         try:
@@ -97,16 +102,16 @@
 
     def clock_live(self, leadership):
         """Whether this leadership is still in force; checked just before timestamps are issued."""
-        return self.clk is leadership and self.seam.now() < leadership.lease_end
+        return self.clk is leadership and self.runtime.now() < leadership.lease_end
 
     async def keep_clock_lease(self, leadership):
         """Sends the lease's keep-alives. The leadership ends when none succeeds for a whole lease period."""
-        gap = constants.HOLD_KEEP
+        gap = constants.KEEPALIVE_PERIOD
         while self.clock_live(leadership):
             await asyncio.sleep(gap)
             outcome, kept_at, gap = await self.keep_lease(hold=leadership.lease)
             if outcome.ok and self.clock_live(leadership):
-                leadership.lease_end = kept_at + constants.HOLD_TTL - constants.HOLD_SLACK
+                leadership.lease_end = kept_at + constants.LEASE_TTL - constants.LEASE_SAFETY_MARGIN
             elif not outcome.ok and type(outcome).__name__ == "Unknown":
                 leadership.lease_end = 0.0
 
@@ -114,18 +119,20 @@
         """Issues timestamps until the lease ends or the daemon leaves."""
         if not await self.clock_sync(leadership):
             return
-        last = self.seam.now()
+        last = self.runtime.now()
         while self.clock_live(leadership) and not self.leaving:
-            await asyncio.sleep(constants.TICK)
-            now = self.seam.now()
+            await asyncio.sleep(constants.CLOCK_REFRESH_PERIOD)
+            now = self.runtime.now()
             self.clock_slew(leadership=leadership, elapsed=now - last)
-            if now - last > 0 and int(now / constants.TRACK_EVERY) != int(last / constants.TRACK_EVERY):
+            if now - last > 0 and int(now / constants.TIME_BROADCAST_PERIOD) != int(
+                last / constants.TIME_BROADCAST_PERIOD
+            ):
                 self.send_clock_time(leadership)
             last = now
             # saved ahead of time, so that no timestamp has to wait for the save
-            if self.clock_physical_ms(leadership) >= leadership.saved_bound - constants.SAVE_EARLY_MS:
+            if self.clock_physical_ms(leadership) >= leadership.saved_bound - constants.BOUND_SAVE_EARLY_MS:
                 await self.clock_save(
-                    leadership=leadership, bound=self.clock_physical_ms(leadership) + constants.SAVE_MS
+                    leadership=leadership, bound=self.clock_physical_ms(leadership) + constants.BOUND_AHEAD_MS
                 )
             self.clock_refresh(leadership)
         if self.leaving and self.clock_live(leadership):
@@ -140,17 +147,17 @@
             return False
         saved = outcome.value["kv"].get(BOUND_KEY, {"v": 0})["v"]
         now = await self.estimate_now()
-        wait = saved + constants.GUARD_MS - now
+        wait = saved + constants.BOUND_GUARD_MS - now
         if wait > constants.BOUND_WAIT_MS:
             self.say(log_events.CLOCK_FROM_BOUND, ahead_ms=wait)
-            now, wait = saved + constants.GUARD_MS, 0
-        leadership.anchor = (now, self.seam.now())
+            now, wait = saved + constants.BOUND_GUARD_MS, 0
+        leadership.anchor = (now, self.runtime.now())
         if wait > 0:
             self.say(log_events.CLOCK_WAITS, wait_ms=wait)
             await asyncio.sleep(wait / 1000)
-        ms = max(self.clock_physical_ms(leadership), saved + constants.GUARD_MS)
-        leadership.anchor = (ms, self.seam.now())
-        if not await self.clock_save(leadership=leadership, bound=ms + constants.SAVE_MS):
+        ms = max(self.clock_physical_ms(leadership), saved + constants.BOUND_GUARD_MS)
+        leadership.anchor = (ms, self.runtime.now())
+        if not await self.clock_save(leadership=leadership, bound=ms + constants.BOUND_AHEAD_MS):
             return False
         leadership.physical, leadership.logical, leadership.synced = ms, 0, True
         return True
@@ -172,55 +179,59 @@
 
     async def estimate_now(self):
         """The present time in ms: the time tracked from the last leader, else the median wall clock."""
-        if self.tracked_time is not None and self.seam.now() - self.tracked_time[1] < constants.TRACK_OLD:
-            return int(self.tracked_time[0] + (self.seam.now() - self.tracked_time[1]) * 1000)
+        if (
+            self.tracked_time is not None
+            and self.runtime.now() - self.tracked_time[1] < constants.TRACKED_TIME_MAX_AGE
+        ):
+            return int(self.tracked_time[0] + (self.runtime.now() - self.tracked_time[1]) * 1000)
         offsets = []  # each wall clock less this member's suspend-counting clock, ms
         for peer in self.voter_peers:
-            sent_at = self.seam.now()
+            sent_at = self.runtime.now()
             outcome = await self.links[peer].call(op="wall", request={}, wait=0.3)
             if outcome.ok:
-                offsets.append(outcome.value["wall"] - (sent_at + self.seam.now()) * 500)
-        offsets = sorted(offsets + [self.seam.wall() - self.seam.now() * 1000])
-        return int(offsets[(len(offsets) - 1) // 2] + self.seam.now() * 1000)
+                offsets.append(outcome.value["wall"] - (sent_at + self.runtime.now()) * 500)
+        offsets = sorted(offsets + [self.runtime.wall() - self.runtime.now() * 1000])
+        return int(offsets[(len(offsets) - 1) // 2] + self.runtime.now() * 1000)
 
     def clock_refresh(self, leadership):
         """Advances the physical part to the present time, never past the bound. Returns whether it is
-        within STALE_MS of the present time."""
+        within PHYSICAL_LAG_MAX_MS of the present time."""
         ms = self.clock_physical_ms(leadership)
         if leadership.physical < ms < leadership.saved_bound:
             leadership.physical, leadership.logical = ms, 0
-        return ms - leadership.physical <= constants.STALE_MS
+        return ms - leadership.physical <= constants.PHYSICAL_LAG_MAX_MS
 
     def clock_physical_ms(self, leadership):
         """The physical part of the present time, ms, not limited by the saved bound."""
-        return int(leadership.anchor[0] + (self.seam.now() - leadership.anchor[1]) * 1000)
+        return int(leadership.anchor[0] + (self.runtime.now() - leadership.anchor[1]) * 1000)
 
     def clock_slew(self, *, leadership, elapsed):
         """Slews the anchor towards the median wall clock, so slowly that the time never goes back."""
         step = max(
-            -constants.SLEW * elapsed * 1000, min(constants.SLEW * elapsed * 1000, leadership.correction)
+            -constants.CLOCK_SLEW_RATE * elapsed * 1000,
+            min(constants.CLOCK_SLEW_RATE * elapsed * 1000, leadership.correction),
         )
         leadership.correction -= step
         leadership.anchor = (leadership.anchor[0] + step, leadership.anchor[1])
-        now = self.seam.now()
+        now = self.runtime.now()
         leadership.anchor = (leadership.anchor[0] + (now - leadership.anchor[1]) * 1000, now)
 
     def send_clock_time(self, leadership):
         """Sends the issued time to the peers, which track it and answer how far their wall clocks are
         from it; the median of the answers is the correction to slew by."""
         ms = self.clock_physical_ms(leadership)
-        leadership.wall_offsets[self.params.addr] = self.seam.wall() - ms
+        leadership.wall_offsets[self.settings.addr] = self.runtime.wall() - ms
 
-        sent_at = self.seam.now()
+        sent_at = self.runtime.now()
 
         def then(peer, outcome):
             if outcome.ok:
-                delay = (self.seam.now() - sent_at) * 500
+                delay = (self.runtime.now() - sent_at) * 500
                 leadership.wall_offsets[peer] = outcome.value["off"] - delay
                 leadership.delays[peer] = [
                     sample
                     for sample in leadership.delays.get(peer, [])
-                    if sent_at - sample[1] < constants.TRACK_BEST
+                    if sent_at - sample[1] < constants.TRACKED_TIME_WINDOW
                 ] + [(delay, sent_at)]
                 offsets = sorted(leadership.wall_offsets.values())
                 leadership.correction = (
@@ -228,7 +239,7 @@
                 )
 
         for peer in self.peers:
-            self.link(addr=peer).ask(
+            self.link(addr=peer).send_request(
                 op="track",
                 request={"ms": ms, "half": self.one_way_delay(leadership=leadership, peer=peer)},
                 wait=0.5,
@@ -236,38 +247,41 @@
             )
 
     def one_way_delay(self, *, leadership, peer):
-        """The shortest half round trip to a peer, ms; 0 until there are TRACK_LOOKS samples, because a
+        """The shortest half round trip to a peer, ms; 0 until there are TRACKED_TIME_MIN_SAMPLES samples, because a
         single one may be of a peer that was suspended."""
         samples = leadership.delays.get(peer, [])
-        return min(samples)[0] if len(samples) >= constants.TRACK_LOOKS else 0.0
+        return min(samples)[0] if len(samples) >= constants.TRACKED_TIME_MIN_SAMPLES else 0.0
 
     def on_track(self, *, request, callback, caller):
         """Notes the clock leader's time. Of the recent samples the one with the latest time is used:
         it was delayed least."""
-        now, ms = self.seam.now(), request["ms"] + request["half"]
-        if now - self.felt < constants.LAG_HELD and now - self.woke > constants.TRACK_CALM:
+        now, ms = self.runtime.now(), request["ms"] + request["half"]
+        if (
+            now - self.lag_measured_at < constants.LOOP_STALL
+            and now - self.last_stall_at > constants.TRACKING_PAUSE_AFTER_FREEZE
+        ):
             self.add_time_sample(now=now, ms=ms)  # after a suspension the messages in the sockets are old
-        callback(Success(value={"off": self.seam.wall() - request["ms"]}))
+        callback(Success(value={"off": self.runtime.wall() - request["ms"]}))
 
     def add_time_sample(self, *, now, ms):
         self.time_samples = [
-            sample for sample in self.time_samples if now - sample[1] < constants.TRACK_BEST
+            sample for sample in self.time_samples if now - sample[1] < constants.TRACKED_TIME_WINDOW
         ] + [(ms, now)]
         self.tracked_time = max(self.time_samples, key=lambda sample: sample[0] - sample[1] * 1000)
 
     def on_stamp(self, *, request, callback, caller, tries=0):
         """Issues request["n"] timestamps at once. If the logical part overflows, or the clock is not
-        synced or is stale, tries again after a pause; NotSynced after MAX_RETRY tries."""
+        synced or is stale, tries again after a pause; NotSynced after TIMESTAMP_RETRIES_MAX tries."""
         leadership = self.clk
         if leadership is None or not self.clock_live(leadership):
-            address = self.leads[
+            address = self.known_leaders[
                 "clock"
             ]  # from the applied keys, which are newer than this member's last watch
-            callback(NotLeader(hint=address if address != self.params.addr else ""))
+            callback(NotLeader(hint=address if address != self.settings.addr else ""))
             return
         retry_after, event = constants.UNSYNCED_SLEEP, log_events.CLOCK_UNSYNCED
         if leadership.synced and not self.clock_refresh(leadership):
-            retry_after, event = constants.TICK, log_events.CLOCK_STALE
+            retry_after, event = constants.CLOCK_REFRESH_PERIOD, log_events.CLOCK_STALE
         elif leadership.synced:
             leadership.logical += request["n"]
             if leadership.logical < constants.MAX_LOGICAL:
@@ -283,9 +297,9 @@
                     )
                 )
                 return
-            retry_after, event = constants.TICK, log_events.CLOCK_OVERFLOW
+            retry_after, event = constants.CLOCK_REFRESH_PERIOD, log_events.CLOCK_OVERFLOW
         self.say(event, tries=tries)
-        if tries >= constants.MAX_RETRY:
+        if tries >= constants.TIMESTAMP_RETRIES_MAX:
             callback(NotSynced(tries=tries))
             return
         asyncio.get_running_loop().call_later(
--- a/hollowhall/almanac/confs.py
+++ b/hollowhall/almanac/confs.py
@@ -19,11 +19,11 @@
     """The membership in force, and its changes."""
 
     def open_conf(self):
-        own = [] if self.params.join else [self.params.addr]
-        first = {"v": 0, "voters": sorted({*self.params.seeds, *own}), "learner": "", "out": "", "past": []}
-        if self.params.auto_members and not self.params.found:
+        own = [] if self.settings.join else [self.settings.addr]
+        first = {"v": 0, "voters": sorted({*self.settings.seeds, *own}), "learner": "", "out": "", "past": []}
+        if self.settings.auto_members and not self.settings.found:
             # version -1: only addresses to ask; any membership that a member reports replaces it
-            first |= {"v": -1, "voters": sorted({*self.params.seeds} - {self.params.addr})}
+            first |= {"v": -1, "voters": sorted({*self.settings.seeds} - {self.settings.addr})}
         self.memberships, self.replication_tasks, self.replication_events, self.peers = (
             [(0, first)],
             {},
@@ -41,8 +41,8 @@
     def use_conf(self):
         """Puts the newest membership into force: the only place where peers, voters and the tasks that
         replicate to peers change."""
-        self.membership_changed_at = self.seam.now()
-        membership, own_address = self.conf, self.params.addr
+        self.membership_changed_at = self.runtime.now()
+        membership, own_address = self.conf, self.settings.addr
         self.voters = membership["voters"]
         self.voter_peers = [peer for peer in self.voters if peer != own_address]
         self.peers = [
@@ -50,7 +50,7 @@
             for peer in dict.fromkeys([*self.voters, membership["learner"]])
             if peer not in ("", own_address)
         ]
-        self.alms = [*self.voters, *([membership["learner"]] if membership["learner"] else [])]
+        self.store_addresses = [*self.voters, *([membership["learner"]] if membership["learner"] else [])]
         for peer in self.peers:
             if peer not in self.replication_events:
                 self.replication_events[peer] = asyncio.Event()
@@ -58,7 +58,7 @@
             if self.opened:
                 self.link(addr=peer)
                 if peer not in self.replication_tasks:
-                    self.replication_tasks[peer] = self.run_task(co=self.replicate(peer), name="feed")
+                    self.replication_tasks[peer] = self.run_task(coroutine=self.replicate(peer), name="feed")
         for peer in [peer for peer in self.replication_tasks if peer not in self.peers]:
             self.replication_tasks.pop(peer).cancel()
             del self.replication_events[peer]
@@ -101,14 +101,15 @@
         self.keys.rev += 1
         self.keys.put(key=MEMBERS_KEY, value=membership, lease=0)
         left_out = (
-            self.params.addr not in (*membership["voters"], membership["learner"]) and not self.params.join
+            self.settings.addr not in (*membership["voters"], membership["learner"])
+            and not self.settings.join
         )
         self.removed = self.removed and left_out
         if membership["v"] >= self.conf["v"] and left_out and not self.removed:
             self.removed = True
             self.say(log_events.MEMBER_OUT, voters=len(membership["voters"]))
             if self.rank == LEADER:
-                self.run_task(co=self.step_out(), name="step out")
+                self.run_task(coroutine=self.step_out(), name="step out")
         return Success(value=membership)
 
     async def step_out(self):
@@ -136,9 +137,9 @@
     def alive(self, address):
         """Whether a member counts and has answered within the longest election timeout."""
         return (
-            address == self.params.addr
+            address == self.settings.addr
             or address not in self.blank_peers
-            and self.seam.now() - self.acked_at.get(address, 0.0) < constants.ELECT_MAX
+            and self.runtime.now() - self.acked_at.get(address, 0.0) < constants.ELECTION_TIMEOUT_MAX
         )
 
     def counts_when_promoted(self, address):
@@ -150,10 +151,10 @@
     def voter_recently_silent(self):
         """Whether a voter is silent, but not yet for so long that it may be removed. No learner is made a
         voter meanwhile: with an even number of voters, one silent, the next loss could cost the majority."""
-        now = self.seam.now()
-        return self.params.auto_members and any(
-            now - self.acked_at.get(peer, 0.0) > constants.ELECT_MAX
-            and now - max(self.acked_at.get(peer, 0.0), self.led_since) <= constants.GONE
+        now = self.runtime.now()
+        return self.settings.auto_members and any(
+            now - self.acked_at.get(peer, 0.0) > constants.ELECTION_TIMEOUT_MAX
+            and now - max(self.acked_at.get(peer, 0.0), self.led_since) <= constants.REPLACEABLE_AFTER
             for peer in self.voter_peers
         )
 
@@ -164,7 +165,7 @@
     async def drive_changes(self):
         """The leader's task that drives membership changes, also those that a previous leader began."""
         while True:
-            await asyncio.sleep(constants.BEAT)
+            await asyncio.sleep(constants.LEADER_HEARTBEAT_PERIOD)
             if self.settled():
                 self.steer_once()
 
@@ -184,7 +185,7 @@
             remaining = [voter for voter in membership["voters"] if voter != membership["out"]]
             if self.has_live_majority(remaining):
                 self.put_conf(voters=remaining, out="", past=[*membership["past"], membership["out"]])
-        elif self.params.auto_members:
+        elif self.settings.auto_members:
             self.steer_automatic()
 
     def on_members_now(self, *, request, callback, caller):
@@ -199,8 +200,8 @@
                     | {
                         "version": self.conf["v"],
                         "level": self.record.level,
-                        "lead": self.params.addr,
-                        "up": [address for address in self.alms if self.alive(address)],
+                        "lead": self.settings.addr,
+                        "up": [address for address in self.store_addresses if self.alive(address)],
                     }
                 )
             )
@@ -212,7 +213,7 @@
         if self.rank != LEADER:
             callback(NotLeader(hint=self.leader))
             return
-        self.run_task(co=self.change(request, callback), name="change")
+        self.run_task(coroutine=self.change(request, callback), name="change")
 
     async def change(self, request, callback):
         """Checks an operator's change and proposes its first entry."""
@@ -233,13 +234,13 @@
 
     async def check_joinable(self, addr):
         """The Refused that says why a store member at this address cannot be added, or None."""
-        if addr in self.alms or addr in self.conf["past"]:
+        if addr in self.store_addresses or addr in self.conf["past"]:
             return Refused(why="the address is, or once was, a member's")
         outcome = await self.link(addr=addr).call(op="status", request={})
         for _ in range(10):
             if outcome.ok:
                 break
-            await asyncio.sleep(constants.BEAT)
+            await asyncio.sleep(constants.LEADER_HEARTBEAT_PERIOD)
             outcome = await self.link(addr=addr).call(op="status", request={})
         if not outcome.ok:
             return Refused(why="no almanac answers at the new address")
--- a/hollowhall/almanac/copy.py
+++ b/hollowhall/almanac/copy.py
@@ -35,7 +35,7 @@
     def start_leading(self):
         """Resets what a leader knows of its peers, extends the leases and appends a no-op: an entry of the
         new term, without which nothing earlier can be committed."""
-        self.led_since = self.seam.now()
+        self.led_since = self.runtime.now()
         self.next = {peer: self.last() + 1 for peer in self.peers}
         self.match = {peer: 0 for peer in self.peers}
         self.acked_at, self.acked_n, self.append_count = {}, {peer: 0 for peer in self.peers}, 0
@@ -49,29 +49,29 @@
         """The latest time at which a keep-alive of this lease can have been confirmed. A confirmed one was
         in an append that a majority answered, so one of the members that voted for this leader knows of
         it. A voter forgets what it heard before it started, so its start is taken instead."""
-        ages = [self.seam.now() - max(self.kept.get(lease, 0.0), self.started_at)]
+        ages = [self.runtime.now() - max(self.kept.get(lease, 0.0), self.started_at)]
         ages += [
             vote["h"].get(lease, vote["born"]) if "h" in vote else 0.0
             for term, vote in self.ballots
             if term == self.term
         ]
-        return self.seam.now() - max(0.0, min(ages))
+        return self.runtime.now() - max(0.0, min(ages))
 
     def keeps(self):
         """Seconds since the last keep-alive of each lease, sent with appends and votes. Includes leases
         whose grant is not applied here yet: a lagging voter may be the only one to know of a confirmed
-        keep-alive. Leases that are gone are forgotten after KEPT_UNKNOWN."""
-        now = self.seam.now()
+        keep-alive. Leases that are gone are forgotten after UNKNOWN_KEEPALIVE_KEPT."""
+        now = self.runtime.now()
         self.kept = {
             lease: kept_at
             for lease, kept_at in self.kept.items()
-            if lease in self.keys.holds or now - kept_at < constants.KEPT_UNKNOWN
+            if lease in self.keys.holds or now - kept_at < constants.UNKNOWN_KEEPALIVE_KEPT
         }
         known = dict.fromkeys([*self.keys.holds, *self.kept])
         return {lease: now - max(self.kept.get(lease, 0.0), self.started_at) for lease in known}
 
     def merge_lease_ages(self, ages):
-        now = self.seam.now()
+        now = self.runtime.now()
         for lease, age in ages.items():
             self.kept[lease] = max(self.kept.get(lease, 0.0), now - age)
 
@@ -102,10 +102,10 @@
         if self.rank != LEADER or self.handing_over:
             callback(NotLeader(hint="" if self.handing_over else self.leader))
             return
-        if len(request) > min(constants.ENTRY_MAX, self.ring.size // 2):
-            callback(TooLarge(limit=min(constants.ENTRY_MAX, self.ring.size // 2)))
+        if len(request) > min(constants.ENTRY_MAX_BYTES, self.ring.size // 2):
+            callback(TooLarge(limit=min(constants.ENTRY_MAX_BYTES, self.ring.size // 2)))
             return
-        if self.last() - self.commit > constants.PENDING_MAX:
+        if self.last() - self.commit > constants.UNCOMMITTED_ENTRIES_MAX:
             callback(Full(where="store", after=constants.RETRY_AFTER))
             return
         ticket = self.pending.put(callback=callback)
@@ -131,7 +131,7 @@
         event = self.replication_events[peer]
         while self.replication_events.get(peer) is event:
             try:
-                await asyncio.wait_for(event.wait(), constants.BEAT)
+                await asyncio.wait_for(event.wait(), constants.LEADER_HEARTBEAT_PERIOD)
             except TimeoutError:
                 pass
             event.clear()
@@ -148,7 +148,7 @@
         if self.links[peer].level < self.record.level:
             return False  # too old for the record's format; it logs this itself when it asks
         self.append_count += 1
-        number, sent_at = self.append_count, self.seam.now()
+        number, sent_at = self.append_count, self.runtime.now()
         if next_index <= self.base_i:
             outcome, last_sent = await self.send_snapshot(peer=peer, term=term)
         else:
@@ -156,14 +156,14 @@
             for entry in self.entries(next_index):
                 entries.append(entry)
                 size += len(entry[2])
-                if size > constants.APPEND_BYTES:
+                if size > constants.APPEND_MAX_BYTES:
                     break
             outcome = await self.links[peer].call(
                 op="append",
                 wait=1.0,
                 request={
                     "t": term,
-                    "l": self.params.addr,
+                    "l": self.settings.addr,
                     "li": next_index - 1,
                     "lt": self.term_at(next_index - 1),
                     "es": entries,
@@ -187,7 +187,7 @@
             and answer["yes"]
             and last_sent >= self.last()
         ):
-            self.run_task(co=self.campaign(forced=True), name="renew")
+            self.run_task(coroutine=self.campaign(forced=True), name="renew")
             return False
         self.acked_at[peer], self.acked_n[peer] = sent_at, number
         self.compare_checksums(peer=peer, reported=answer.get("mark"))
@@ -203,7 +203,7 @@
         if self.rank != LEADER:
             return
         counted_peers = [peer for peer in self.voter_peers if peer not in self.blank_peers]
-        is_voter = self.params.addr in self.voters
+        is_voter = self.settings.addr in self.voters
         held = sorted([self.synced] * is_voter + [self.match[peer] for peer in counted_peers], reverse=True)
         if len(held) >= self.majority():
             index = min(held[self.majority() - 1], self.last())
@@ -230,10 +230,10 @@
             entry = self.book[self.applied - self.base_i]
             outcome = self.enact(index=entry[0], command=unpack(entry[2]))
             self.applied = entry[0]
-            if entry[0] % constants.MARK_EVERY == 0 and self.record.level:
+            if entry[0] % constants.CHECKSUM_INTERVAL_ENTRIES == 0 and self.record.level:
                 self.note_checksum(entry[0])
             ticket = self.waits.pop(entry[0], None)
-            callback = self.pending.take(i=ticket[0], g=ticket[1]) if ticket else None
+            callback = self.pending.take(index=ticket[0], generation=ticket[1]) if ticket else None
             if callback is not None:
                 callback(outcome)
         self.answer_polls()
--- a/hollowhall/almanac/follow.py
+++ b/hollowhall/almanac/follow.py
@@ -37,7 +37,7 @@
                 entries, callbacks, snapshot = self.unsynced, self.sync_callbacks, self.snap_in
                 self.unsynced, self.sync_callbacks, self.snap_in = [], [], None
                 self.hard_dirty, self.writing, self.inflight_callbacks = False, True, callbacks
-                self.write_started = self.seam.now()
+                self.write_started = self.runtime.now()
                 hard = {"t": self.term, "v": self.vote, "m": not self.blank, "f": self.floor}
                 if snapshot is not None:
                     if not snapshot["keep"]:
@@ -84,7 +84,7 @@
             entries = entries[count:]
             if not entries:
                 return
-            self.write_started = self.seam.now()
+            self.write_started = self.runtime.now()
 
     def on_append(self, *, request, callback, caller):
         """Takes the leader's entries if the log matches before them; answers after the sync."""
@@ -93,7 +93,7 @@
             return
         if request["t"] > self.term or self.rank not in (FOLLOWER, BLANK) or self.leader != request["l"]:
             self.become(role=FOLLOWER, term=request["t"], leader=request["l"], why="leader heard")
-        self.election_timer_start = self.leader_heard_at = self.seam.now()
+        self.election_timer_start = self.leader_heard_at = self.runtime.now()
         self.merge_lease_ages(request.get("h", {}))
         previous_index = request["li"]
         if previous_index < self.base_i:
--- a/hollowhall/almanac/joining.py
+++ b/hollowhall/almanac/joining.py
@@ -17,18 +17,21 @@
 
     def open_joining(self):
         self.join_requests, self.departing, self.learner_since = {}, {}, 0.0
-        if self.params.auto_members:
-            self.run_task(co=self.request_join(), name="knock")
+        if self.settings.auto_members:
+            self.run_task(coroutine=self.request_join(), name="knock")
 
     async def request_join(self):
         """The task that asks the leader to be added while this member is not in the membership."""
         while True:
-            await asyncio.sleep(constants.KNOCK * (0.5 + self.seam.rng.random()))
-            if self.params.addr not in self.alms:
+            await asyncio.sleep(constants.JOIN_REQUEST_PERIOD * (0.5 + self.runtime.rng.random()))
+            if self.settings.addr not in self.store_addresses:
                 if self.blank and self.floor is None:
                     continue  # unblank() has not learned yet who the members are
-                await self.store(op="join", request={"addr": self.params.addr}, safe=True, total=1.0)
-            elif self.seam.now() - self.leader_heard_at > constants.OUT_LOOK and self.rank != LEADER:
+                await self.store(op="join", request={"addr": self.settings.addr}, safe=True, total=1.0)
+            elif (
+                self.runtime.now() - self.leader_heard_at > constants.REMOVED_CHECK_AFTER
+                and self.rank != LEADER
+            ):
                 await self.check_removed()
 
     async def check_removed(self):
@@ -40,12 +43,15 @@
                 answer.ok
                 and answer.value["conf"]["v"] > self.conf["v"]
                 and answer.value["lead"]
-                and self.params.addr not in (*answer.value["conf"]["voters"], answer.value["conf"]["learner"])
+                and self.settings.addr
+                not in (*answer.value["conf"]["voters"], answer.value["conf"]["learner"])
             ):
                 for address in answer.value["conf"]["voters"]:
                     self.link(addr=address)
-                await asyncio.sleep(constants.KNOCK)
-                await self.link(addr=answer.value["lead"]).call(op="join", request={"addr": self.params.addr})
+                await asyncio.sleep(constants.JOIN_REQUEST_PERIOD)
+                await self.link(addr=answer.value["lead"]).call(
+                    op="join", request={"addr": self.settings.addr}
+                )
                 return
 
     def on_join(self, *, request, callback, caller):
@@ -53,8 +59,8 @@
         if self.rank != LEADER:
             callback(NotLeader(hint=self.leader))
             return
-        if request["addr"] not in self.alms and self.params.auto_members:
-            self.join_requests[request["addr"]] = self.seam.now()
+        if request["addr"] not in self.store_addresses and self.settings.auto_members:
+            self.join_requests[request["addr"]] = self.runtime.now()
         callback(Success(value={"conf": self.conf}))
 
     # --- orderly departure
@@ -63,56 +69,61 @@
         """Asks to be removed before the daemon ends, if the number of voters is even. Its replacement has
         already joined then, and until the leader noticed by silence that this member is gone, the larger
         membership could not lose another voter."""
-        if not self.params.auto_members or not self.even_voters():
+        if not self.settings.auto_members or not self.even_voters():
             return
         await self.store(
-            op="depart", request={"addr": self.params.addr}, safe=True, total=constants.DEPART_ASK
+            op="depart",
+            request={"addr": self.settings.addr},
+            safe=True,
+            total=constants.DEPARTURE_NOTIFY_TIMEOUT,
         )
-        end = self.seam.now() + constants.DEPART_WAIT
-        while self.even_voters() and self.seam.now() < end:
-            await asyncio.sleep(constants.WATCHDOG)
+        end = self.runtime.now() + constants.DEPARTURE_REMOVAL_TIMEOUT
+        while self.even_voters() and self.runtime.now() < end:
+            await asyncio.sleep(constants.LEADER_CHECK_PERIOD)
 
     def even_voters(self):
-        return self.params.addr in self.voters and len(self.voters) % 2 == 0
+        return self.settings.addr in self.voters and len(self.voters) % 2 == 0
 
     def on_depart(self, *, request, callback, caller):
         """A member is about to end. Answered at once; the membership changes when that is due."""
         if self.rank != LEADER:
             callback(NotLeader(hint=self.leader))
             return
-        self.departing[request["addr"]] = self.seam.now()
+        self.departing[request["addr"]] = self.runtime.now()
         callback(Success(value={}))
 
     def steer_automatic(self):
         """Proposes one membership change, if one is due. Called when none is in progress."""
-        membership, now = self.conf, self.seam.now()
+        membership, now = self.conf, self.runtime.now()
         if membership["v"] == 0:
             self.put_conf()  # puts the founders into the log, whatever seeds a restart names
             return
         if membership["learner"]:
-            if now - self.learner_since > constants.LEARNER_OLD and not self.alive(membership["learner"]):
+            if now - self.learner_since > constants.SILENT_LEARNER_REMOVED_AFTER and not self.alive(
+                membership["learner"]
+            ):
                 self.put_conf(learner="", out="", past=[*membership["past"], membership["learner"]])
             return
         self.join_requests = {
             address: asked_at
             for address, asked_at in self.join_requests.items()
-            if now - asked_at < constants.WISH_OLD and address not in self.alms
+            if now - asked_at < constants.JOIN_REQUEST_EXPIRY and address not in self.store_addresses
         }
         even = len(membership["voters"]) % 2 == 0  # one voter fewer would tolerate as many losses
         self.departing = {
             voter: asked_at
             for voter, asked_at in self.departing.items()
-            if now - asked_at < constants.DEPART_OLD
+            if now - asked_at < constants.DEPARTURE_EXPIRY
         }
         leaving = [
-            voter for voter in membership["voters"] if voter in self.departing and voter != self.params.addr
+            voter for voter in membership["voters"] if voter in self.departing and voter != self.settings.addr
         ]
         dead = [
             voter
             for voter in membership["voters"]
-            if voter != self.params.addr
+            if voter != self.settings.addr
             and now - max(self.acked_at.get(voter, 0.0), self.led_since)
-            > (constants.GONE_EVEN if even else constants.GONE)
+            > (constants.REPLACEABLE_AFTER_EVEN if even else constants.REPLACEABLE_AFTER)
         ]
         dead.sort(key=lambda voter: self.acked_at.get(voter, 0.0))  # silent the longest first
         dead = dead or (leaving if even else [])
@@ -130,7 +141,7 @@
     def unknown_to_majority(self, answers):
         """Whether a majority of the voters answered and no membership names this address: then it cannot
         have voted or acknowledged anything before."""
-        membership, own_address = self.conf, self.params.addr
+        membership, own_address = self.conf, self.settings.addr
         memberships = [answer["conf"] for answer in answers.values()]
         return 2 * len(
             [voter for voter in membership["voters"] if voter in answers and not answers[voter]["blank"]]
--- a/hollowhall/almanac/pictures.py
+++ b/hollowhall/almanac/pictures.py
@@ -23,7 +23,9 @@
 
     def snapshot_interval(self):
         """Entries until the next snapshot; randomized, so that members do not all take one at once."""
-        return int(self.params.snap_every * (1 + constants.SNAP_SPREAD * self.seam.rng.random()))
+        return int(
+            self.settings.snap_every * (1 + constants.SNAPSHOT_INTERVAL_SPREAD * self.runtime.rng.random())
+        )
 
     def snapshot_header(self):
         """What a snapshot holds besides the record: index, term, keys and membership."""
@@ -36,14 +38,16 @@
 
     def whole_snapshot(self):
         """A snapshot taken at once, without slices."""
-        self.seam.spend(s=self.record.tasks_n() * constants.PACK_TASK)
+        self.runtime.spend(s=self.record.tasks_n() * constants.PACK_TASK_CPU_TIME)
         return self.snapshot_header() | {"record": self.record.pack()}
 
     async def take_snapshot(self):
         """Takes a snapshot in slices; None if a newer one was loaded meanwhile."""
         if not self.record.level:
             return self.whole_snapshot()
-        taken = await self.record.picture(spend=self.seam.spend, now=self.seam.now, also=self.snapshot_header)
+        taken = await self.record.picture(
+            spend=self.runtime.spend, now=self.runtime.now, also=self.snapshot_header
+        )
         return taken and taken[1] | {"record": taken[0]}
 
     async def keep_snaps(self):
@@ -64,7 +68,7 @@
             if snapshot["i"] <= self.snap_i:
                 return
             self.snap_i = snapshot["i"]
-            cut = min(snapshot["i"], self.last()) - self.params.snap_every // 4
+            cut = min(snapshot["i"], self.last()) - self.settings.snap_every // 4
             if cut > self.base_i:
                 cut_term = self.term_at(cut)
                 self.book = self.entries(cut + 1)
@@ -75,7 +79,7 @@
     def load_snapshot(self, snapshot):
         self.keys.load(snapshot["keys"])
         self.record.load(snapshot["record"])
-        self.seam.spend(s=self.record.tasks_n() * constants.LOAD_TASK)
+        self.runtime.spend(s=self.record.tasks_n() * constants.LOAD_TASK_CPU_TIME)
 
     # --- sending, in chunks
 
@@ -102,8 +106,8 @@
             "st": term,
             "off": offset,
             "all": len(body),
-            "by": self.params.addr,
-            "b": body[offset : offset + constants.CHUNK_BYTES],
+            "by": self.settings.addr,
+            "b": body[offset : offset + constants.SNAPSHOT_CHUNK_BYTES],
         }
 
     async def send_snapshot(self, *, peer, term):
@@ -113,15 +117,15 @@
             return await self.links[peer].call(
                 op="snap",
                 wait=5.0,
-                request={"t": term, "l": self.params.addr, "d": snapshot, "h": self.keeps()},
+                request={"t": term, "l": self.settings.addr, "d": snapshot, "h": self.keeps()},
             ), snapshot["i"]
         while True:
             index = self.snapshot_to_send()[0]
             progress = self.snapshot_progress.get(peer)
             chunk = self.chunk(offset=progress[1] if progress and progress[0] == index else 0)
-            sent_at = self.seam.now()
+            sent_at = self.runtime.now()
             outcome = await self.links[peer].call(
-                op="snap", wait=5.0, request=chunk | {"t": term, "l": self.params.addr, "h": self.keeps()}
+                op="snap", wait=5.0, request=chunk | {"t": term, "l": self.settings.addr, "h": self.keeps()}
             )
             if (
                 not outcome.ok
@@ -142,7 +146,7 @@
             return
         if request["t"] > self.term or self.leader != request["l"] or self.rank not in (FOLLOWER, BLANK):
             self.become(role=FOLLOWER, term=request["t"], leader=request["l"], why="leader heard")
-        self.election_timer_start = self.leader_heard_at = self.seam.now()
+        self.election_timer_start = self.leader_heard_at = self.runtime.now()
         self.merge_lease_ages(request.get("h", {}))
         snapshot = request["d"] if "d" in request else self.add_chunk(request)
         if snapshot is None:
--- a/hollowhall/almanac/polls.py
+++ b/hollowhall/almanac/polls.py
@@ -30,21 +30,21 @@
 
         def lapse():
             if self.polls.pop(ticket, None) is not None:
-                self.pending_polls.take(i=ticket[0], g=ticket[1])(test(True))
+                self.pending_polls.take(index=ticket[0], generation=ticket[1])(test(True))
 
         asyncio.get_running_loop().call_later(wait, lapse)
 
     def out_of_touch(self):
         """Whether this replica has been cut off for so long that its state may be old."""
         if self.rank == LEADER:
-            return self.contact_age() > constants.TOUCH
-        return self.seam.now() - self.leader_heard_at > constants.TOUCH
+            return self.contact_age() > constants.LEADER_CONTACT_MAX_AGE
+        return self.runtime.now() - self.leader_heard_at > constants.LEADER_CONTACT_MAX_AGE
 
     def drop_polls(self):
         """Answers all parked polls with NotLeader, so that their callers ask another replica."""
         for ticket in list(self.polls):
             del self.polls[ticket]
-            self.pending_polls.take(i=ticket[0], g=ticket[1])(NotLeader(hint=""))
+            self.pending_polls.take(index=ticket[0], generation=ticket[1])(NotLeader(hint=""))
 
     def answer_polls(self):
         """Answers the parked polls that have a result now."""
@@ -52,7 +52,7 @@
             outcome = test(False)
             if outcome is not None:
                 del self.polls[ticket]
-                self.pending_polls.take(i=ticket[0], g=ticket[1])(outcome)
+                self.pending_polls.take(index=ticket[0], generation=ticket[1])(outcome)
 
     def on_watch(self, *, request, callback, caller):
         """A long poll for the keys under a prefix that changed after a revision."""
@@ -73,7 +73,7 @@
         self.park(
             test=test,
             callback=callback,
-            wait=min(request.get("wait", constants.WATCH_WAIT), constants.WATCH_WAIT),
+            wait=min(request.get("wait", constants.LONG_POLL_TIMEOUT), constants.LONG_POLL_TIMEOUT),
         )
 
     def on_charter(self, *, request, callback, caller):
@@ -87,4 +87,4 @@
                 )
             return None
 
-        self.park(test=test, callback=callback, wait=constants.WATCH_WAIT)
+        self.park(test=test, callback=callback, wait=constants.LONG_POLL_TIMEOUT)
--- a/hollowhall/almanac/ring.py
+++ b/hollowhall/almanac/ring.py
@@ -41,7 +41,7 @@
     """The segment files, and the snapshot beside them. `sequences` has each file's sequence number, 0 if
     the file is free; `last_indexes` the last entry in it."""
 
-    def __init__(self, *, disk, files=constants.RING_FILES, size=constants.RING_BYTES):
+    def __init__(self, *, disk, files=constants.LOG_SEGMENTS, size=constants.LOG_SEGMENT_BYTES):
         self.disk, self.file_count, self.size = disk, files, size
         self.files, self.sequences, self.last_indexes = [], [], []
         self.current, self.offset, self.sequence = 0, 0, 0
--- a/hollowhall/almanac/serve.py
+++ b/hollowhall/almanac/serve.py
@@ -7,7 +7,7 @@
 from ..base import constants, log_events
 from ..base.circuit import pack
 from ..base.problems import Mismatch, NotSynced, StaleBase, Success, Unknown, Unsure
-from ..base.slab import Slab
+from ..base.slab import PendingRequests
 from .clock import LEADER_KEY
 from .vote import LEADER
 
@@ -18,7 +18,10 @@
     level_known = 0  # the format level that a leader has raised the record to, or is about to
 
     def open_serve(self):
-        self.pending_polls, self.polls = Slab(cap=constants.SLAB_CAP), {}
+        self.pending_polls, self.polls = (
+            PendingRequests(capacity=constants.PENDING_REQUESTS_PER_CONNECTION),
+            {},
+        )
 
     def enact(self, *, index, command):
         """Applies one committed entry and returns its result; deterministic, the same on every replica."""
@@ -28,9 +31,9 @@
             self.note_clock()
             return outcome
         if op == "grant":
-            self.kept[index] = self.seam.now()
+            self.kept[index] = self.runtime.now()
             if self.rank == LEADER:
-                self.hold_ends[index] = self.seam.now() + command[1]
+                self.hold_ends[index] = self.runtime.now() + command[1]
             return self.keys.grant(lease=index, ttl=command[1], caller=command[2])
         if op == "revoke":
             outcome = self.keys.revoke(lease=command[1])
@@ -50,7 +53,7 @@
     def note_clock(self):
         """Takes the clock's leader from the keys, so that this process does not ask a former one."""
         entry = self.keys.kv.get(LEADER_KEY)
-        self.leads["clock"] = entry["v"] if entry else ""
+        self.known_leaders["clock"] = entry["v"] if entry else ""
 
     def on_tail(self, *, request, callback, caller):
         """A long poll for the record's entries after an index, or for the snapshot if they are gone."""
@@ -62,7 +65,7 @@
             if index < self.base_i:
                 if request.get("level", 0) and self.record.level:
                     chunk = self.chunk(
-                        offset=request["off"] if request.get("of") == [self.params.addr, self.snap_i] else 0
+                        offset=request["off"] if request.get("of") == [self.settings.addr, self.snap_i] else 0
                     )
                     if chunk is None:
                         return Success(value={"to": index, "es": []}) if final else None
@@ -76,14 +79,14 @@
                 if entry[2][:6] in RECORD_PREFIXES:
                     entries.append([entry[0], entry[2]])
                     size += len(entry[2])
-                    if size > constants.APPEND_BYTES:
+                    if size > constants.APPEND_MAX_BYTES:
                         upto = entry[0]
                         break
             if entries or final:
                 return Success(value={"to": upto, "es": entries})
             return None
 
-        self.park(test=test, callback=callback, wait=request.get("wait", constants.WATCH_WAIT))
+        self.park(test=test, callback=callback, wait=request.get("wait", constants.LONG_POLL_TIMEOUT))
 
     def refuse_old_level(self, *, request, callback, caller):
         """Answers Mismatch and returns True if the caller does not support the record's format level: it
@@ -192,7 +195,7 @@
         """A keep-alive of a lease; confirmed only by a leader that a majority still follows."""
         lease = request["hold"]
         self.kept[lease] = (
-            self.seam.now()
+            self.runtime.now()
         )  # set before the appends that confirm the keep-alive, which carry it
 
         def then(failure):
@@ -201,7 +204,7 @@
             elif lease not in self.keys.holds or lease in self.expiring or self.rank != LEADER:
                 callback(Unknown(what="hold", id=str(lease)))
             else:
-                self.hold_ends[lease] = self.seam.now() + self.keys.holds[lease]["ttl"]
+                self.hold_ends[lease] = self.runtime.now() + self.keys.holds[lease]["ttl"]
                 callback(Success(value={}))
 
         self.read(callback=then)
@@ -210,19 +213,19 @@
         """The leader's task that revokes expired leases through the log. Also drops the parked polls of a
         replica that is out of touch."""
         while True:
-            await asyncio.sleep(constants.WATCHDOG)
+            await asyncio.sleep(constants.LEADER_CHECK_PERIOD)
             if self.polls and self.out_of_touch():
                 self.drop_polls()
             if self.rank != LEADER or self.term_at(self.commit) != self.term:
                 continue
-            now = self.seam.now()
+            now = self.runtime.now()
             for lease in list(self.keys.holds):
                 if self.hold_ends.get(lease, now) < now and lease not in self.expiring:
                     self.expiring.add(lease)
                     self.propose(request=pack(["revoke", lease]), callback=lambda outcome: None)
 
     def on_wall(self, *, request, callback, caller):
-        callback(Success(value={"wall": self.seam.wall()}))
+        callback(Success(value={"wall": self.runtime.wall()}))
 
 
 # The first bytes of the packed log entries that belong to the record: [kind, fields].
--- a/hollowhall/almanac/vote.py
+++ b/hollowhall/almanac/vote.py
@@ -24,10 +24,11 @@
             role = BLANK
         self.rank, self.leader = role, leader
         if leader:  # requests that this process sends to the store go to this leader
-            self.leads["store"] = leader
-        self.election_timer_start = self.seam.now()
+            self.known_leaders["store"] = leader
+        self.election_timer_start = self.runtime.now()
         self.election_timeout = (
-            constants.ELECT_MIN + (constants.ELECT_MAX - constants.ELECT_MIN) * self.seam.rng.random()
+            constants.ELECTION_TIMEOUT_MIN
+            + (constants.ELECTION_TIMEOUT_MAX - constants.ELECTION_TIMEOUT_MIN) * self.runtime.rng.random()
         )
         if previous == LEADER and role != LEADER:
             self.stop_leading()
@@ -42,24 +43,27 @@
         return len(self.voters) // 2 + 1
 
     def disk_stalled(self):
-        """Whether a write to disk has been pending for longer than DISK_STALL."""
-        return self.write_started is not None and self.seam.now() - self.write_started > constants.DISK_STALL
+        """Whether a write to disk has been pending for longer than DISK_SYNC_MAX."""
+        return (
+            self.write_started is not None
+            and self.runtime.now() - self.write_started > constants.DISK_SYNC_MAX
+        )
 
     async def watchdog(self):
         """The task that starts elections, bootstraps a blank replica, and steps down a leader whose disk
         stalls, that was suspended, or that has lost its majority."""
-        last = self.seam.now()
+        last = self.runtime.now()
         while True:
-            await asyncio.sleep(constants.WATCHDOG)
-            now = self.seam.now()
-            slept, last = now - last > constants.SLEPT, now
+            await asyncio.sleep(constants.LEADER_CHECK_PERIOD)
+            now = self.runtime.now()
+            slept, last = now - last > constants.FROZEN_LOOP_LAG, now
             if slept:
                 self.election_timer_start = now
             if self.rank == LEADER:
                 if self.disk_stalled():
                     self.say(log_events.DISK_STALLED)
                     self.become(role=FOLLOWER, why="disk stalled")
-                elif slept or self.quorum_age() > constants.ELECT_MAX:
+                elif slept or self.quorum_age() > constants.ELECTION_TIMEOUT_MAX:
                     self.become(role=FOLLOWER, why="quorum not heard")
             elif self.blank:
                 await self.unblank()
@@ -70,7 +74,7 @@
         """Seconds since a majority last answered this leader. A membership change counts as such an answer,
         because a new voter has not yet reported that it counts. No second change is made before the
         first is committed, so this prolongs the term of a leader that is cut off only once."""
-        return min(self.contact_age(), self.seam.now() - self.membership_changed_at)
+        return min(self.contact_age(), self.runtime.now() - self.membership_changed_at)
 
     def contact_age(self):
         """Seconds since a majority last answered this leader."""
@@ -82,10 +86,10 @@
             ),
             reverse=True,
         )
-        needed = self.majority() - (self.params.addr in self.voters)
+        needed = self.majority() - (self.settings.addr in self.voters)
         if needed == 0:
             return 0.0
-        return self.seam.now() - (answered[needed - 1] if len(answered) >= needed else self.led_since)
+        return self.runtime.now() - (answered[needed - 1] if len(answered) >= needed else self.led_since)
 
     async def request_votes(self, *, op, term, forced=False):
         """Asks every voter for its vote (`vote`) or whether it would vote (`prevote`); returns whether a
@@ -93,7 +97,7 @@
         decided, granted, answered = asyncio.get_running_loop().create_future(), [1], [0]
         request = {
             "t": term,
-            "c": self.params.addr,
+            "c": self.settings.addr,
             "li": self.last(),
             "lt": self.term_at(self.last()),
             "f": forced,
@@ -113,7 +117,9 @@
                 decided.set_result(granted[0] >= self.majority())
 
         for peer in self.voter_peers:
-            self.links[peer].ask(op=op, request=request, callback=count_vote, wait=constants.ELECT_MIN)
+            self.links[peer].send_request(
+                op=op, request=request, callback=count_vote, wait=constants.ELECTION_TIMEOUT_MIN
+            )
         if not self.voter_peers:
             return True
         return await decided
@@ -121,18 +127,21 @@
     async def campaign(self, *, forced=False):
         """Runs for leader of the next term. `forced` skips the pre-vote."""
         term = self.term + 1
-        if self.params.addr not in self.voters:
+        if self.settings.addr not in self.voters:
             return
         if not forced:
             if not await self.request_votes(op="prevote", term=term):
                 self.election_timer_start = (
-                    self.seam.now() if self.seam.rng.random() < 0.5 else self.election_timer_start
+                    self.runtime.now() if self.runtime.rng.random() < 0.5 else self.election_timer_start
                 )
                 return
-            if self.term + 1 != term or self.seam.now() - self.election_timer_start < constants.ELECT_MIN / 2:
+            if (
+                self.term + 1 != term
+                or self.runtime.now() - self.election_timer_start < constants.ELECTION_TIMEOUT_MIN / 2
+            ):
                 return
         self.become(role=CANDIDATE, term=term, why="forced" if forced else "no leader heard")
-        self.vote, self.hard_dirty = self.params.addr, True
+        self.vote, self.hard_dirty = self.settings.addr, True
         await self.wait_synced()
         if self.term != term or self.rank != CANDIDATE:
             return
@@ -141,7 +150,7 @@
             and self.term == term
             and self.rank == CANDIDATE
         ):
-            self.become(role=LEADER, leader=self.params.addr, why="elected")
+            self.become(role=LEADER, leader=self.settings.addr, why="elected")
 
     def log_up_to_date(self, request):
         """Whether the candidate's log holds at least everything that this replica's log does."""
@@ -154,7 +163,9 @@
 
     def on_prevote(self, *, request, callback, caller):
         """Whether this member would vote for the candidate: only if it has not heard a leader lately."""
-        leader_silent = self.rank != LEADER and self.seam.now() - self.leader_heard_at > constants.ELECT_MIN
+        leader_silent = (
+            self.rank != LEADER and self.runtime.now() - self.leader_heard_at > constants.ELECTION_TIMEOUT_MIN
+        )
         granted = (
             self.may_vote() and leader_silent and request["t"] > self.term and self.log_up_to_date(request)
         )
@@ -174,7 +185,7 @@
         )
         if granted and not self.vote:
             self.vote, self.hard_dirty = request["c"], True
-            self.election_timer_start = self.seam.now()
+            self.election_timer_start = self.runtime.now()
         term = self.term
         self.after_sync(
             lambda: callback(
@@ -183,7 +194,7 @@
                         "t": term,
                         "yes": granted,
                         "h": self.keeps(),
-                        "born": self.seam.now() - self.started_at,
+                        "born": self.runtime.now() - self.started_at,
                     }
                 )
             )
@@ -192,7 +203,7 @@
     def on_now(self, *, request, callback, caller):
         """The leader hands its leadership over to this replica, which campaigns at once."""
         if request["t"] == self.term and self.rank == FOLLOWER and not self.blank:
-            self.run_task(co=self.campaign(forced=True), name="campaign")
+            self.run_task(coroutine=self.campaign(forced=True), name="campaign")
         callback(Success())
 
     async def hand_over(self):
@@ -209,6 +220,6 @@
             if self.match.get(successor, 0) >= self.last() or self.rank != LEADER:
                 break
             self.replication_events[successor].set()
-            await asyncio.sleep(constants.WATCHDOG)
+            await asyncio.sleep(constants.LEADER_CHECK_PERIOD)
         self.say(log_events.HANDED, to=successor)
         await self.links[successor].call(op="now", request={"t": self.term})
--- a/hollowhall/base/circuit.py
+++ b/hollowhall/base/circuit.py
@@ -12,9 +12,9 @@
 from . import constants, log_events
 from .problem_codec import from_wire, to_wire
 from .problems import Broken, CircuitDown, Full, Late, Mismatch, Unsure
-from .slab import Slab
+from .slab import PendingRequests
 
-ASK, RESULT = 0, 1  # kinds of frames: a request, a result
+REQUEST_FRAME, RESULT = 0, 1  # kinds of frames: a request, a result
 PACK_OPTIONS = ormsgpack.OPT_NON_STR_KEYS
 
 
@@ -26,46 +26,46 @@
     return ormsgpack.unpackb(data, option=PACK_OPTIONS)
 
 
-class Circuit:
+class RpcConnection:
     """An open RPC connection, which carries requests both ways."""
 
     def __init__(self, *, wire, host, peer=""):
         self.wire, self.host, self.peer = wire, host, peer
-        self.slab, self.up = Slab(cap=constants.SLAB_CAP), True
-        self.heard, self.probed, self.monitored = host.seam.now(), 0.0, False
+        self.pending_requests, self.up = PendingRequests(cap=constants.PENDING_REQUESTS_PER_CONNECTION), True
+        self.heard, self.probed, self.monitored = host.runtime.now(), 0.0, False
 
-    def ask(self, *, op, request, callback, wait=constants.CALL_WAIT):
+    def send_request(self, *, op, request, callback, wait=constants.REQUEST_TIMEOUT):
         """Sends a request; the callback is called once with its result. Returns its slot (index, generation),
         or None if it was not sent."""
         if not self.up:
             callback(CircuitDown(addr=self.peer))
             return None
-        slot = self.slab.put(callback=callback)
+        slot = self.pending_requests.put(callback=callback)
         if slot is None:
             callback(Full(where="circuit", after=constants.RETRY_AFTER))
             return None
-        if not self.wire.send(pack([ASK, slot[0], slot[1], op, request])):
-            self.slab.take(i=slot[0], g=slot[1])
+        if not self.wire.send(pack([REQUEST_FRAME, slot[0], slot[1], op, request])):
+            self.pending_requests.take(index=slot[0], generation=slot[1])
             callback(CircuitDown(addr=self.peer))
             return None
         asyncio.get_running_loop().call_later(wait, self.lapse, slot, op)
         if not self.monitored:
             self.monitored = True
-            self.heard = self.host.seam.now()
+            self.heard = self.host.runtime.now()
             asyncio.get_running_loop().call_later(constants.PROBE_TIMEOUT / 2, self.check_alive)
         return slot
 
     def lapse(self, slot, op):
         """Ends a request that is still pending after its time-out."""
-        callback = self.slab.take(i=slot[0], g=slot[1])
+        callback = self.pending_requests.take(index=slot[0], generation=slot[1])
         if callback is not None:
             callback(Late(op=op))
 
     def check_alive(self):
         """While requests are pending, probes a connection that is silent, and closes it if the probe
         brings no answer either."""
-        now, last = self.host.seam.now(), self.probed
-        self.monitored = self.up and self.slab.n > 0
+        now, last = self.host.runtime.now(), self.probed
+        self.monitored = self.up and self.pending_requests.n > 0
         if not self.monitored:
             return
         if last > self.heard and now - last >= constants.PROBE_TIMEOUT:
@@ -73,13 +73,15 @@
             return
         if now - self.heard >= constants.PROBE_TIMEOUT / 2 and last <= self.heard:
             self.probed = now
-            self.ask(op="where", request={}, wait=constants.PROBE_TIMEOUT, callback=lambda result: None)
+            self.send_request(
+                op="where", request={}, wait=constants.PROBE_TIMEOUT, callback=lambda result: None
+            )
         asyncio.get_running_loop().call_later(constants.PROBE_TIMEOUT / 4, self.check_alive)
 
-    async def call(self, *, op, request, wait=constants.CALL_WAIT):
+    async def call(self, *, op, request, wait=constants.REQUEST_TIMEOUT):
         """Sends a request and returns its result."""
         future = asyncio.get_running_loop().create_future()
-        slot = self.ask(
+        slot = self.send_request(
             op=op,
             request=request,
             wait=wait,
@@ -89,7 +91,7 @@
             return await future
         finally:
             if slot is not None:
-                self.slab.take(i=slot[0], g=slot[1])
+                self.pending_requests.take(index=slot[0], generation=slot[1])
 
     def reply(self, index, generation, result):
         if self.up:
@@ -100,11 +102,11 @@
         count = 0
         try:
             while (frame := await self.wire.recv()) is not None:
-                self.heard, count = self.host.seam.now(), count + 1
+                self.heard, count = self.host.runtime.now(), count + 1
                 if count % constants.FRAMES_PER_YIELD == 0:
                     await asyncio.sleep(0)  # frames buffered here must not starve other tasks
                 frame = unpack(frame)
-                if frame[0] == ASK:
+                if frame[0] == REQUEST_FRAME:
                     self.host.serve(
                         op=frame[3],
                         request=frame[4],
@@ -112,7 +114,7 @@
                         callback=partial(self.reply, frame[1], frame[2]),
                     )
                 else:
-                    callback = self.slab.take(i=frame[1], g=frame[2])
+                    callback = self.pending_requests.take(index=frame[1], generation=frame[2])
                     if callback is not None:
                         callback(from_wire(frame[3]))
         finally:
@@ -123,33 +125,33 @@
         if self.up:
             self.up = False
             self.wire.close()
-            for callback in self.slab.drain():
+            for callback in self.pending_requests.drain():
                 callback(Unsure(why="circuit"))
 
 
-class Link:
+class RpcClient:
     """An RPC client for one address: keeps a connection open and reconnects with growing pauses."""
 
     def __init__(self, *, host, addr):
-        self.host, self.addr, self.c, self.level = host, addr, None, 0
+        self.host, self.addr, self.connection, self.level = host, addr, None, 0
         self.connected, self.closed = asyncio.Event(), False
         self.task = host.add_future(self.keep_connected())
 
     def close(self):
         self.closed = True  # checked by the task as well, since wait_for may lose a cancellation
         self.task.cancel()
-        if self.c is not None:
-            self.c.down()
+        if self.connection is not None:
+            self.connection.down()
 
     async def keep_connected(self):
-        gap = constants.REDIAL
+        gap = constants.RECONNECT_DELAY
         while not self.closed:
             wire = None
             try:
-                wire = await self.host.seam.net.dial(addr=self.addr)
+                wire = await self.host.runtime.net.dial(addr=self.addr)
                 wire.send(pack(self.host.hello()))
-                first_frame = await asyncio.wait_for(wire.recv(), constants.DIAL_WAIT)
-                failure = check_hello(host=self.host, m=first_frame, addr=self.addr)
+                first_frame = await asyncio.wait_for(wire.recv(), constants.CONNECT_TIMEOUT)
+                failure = hello_failure(host=self.host, m=first_frame, addr=self.addr)
                 if self.closed:
                     wire.close()
                 elif failure is not None:
@@ -157,48 +159,55 @@
                     wire.close()
                 else:
                     self.level = unpack(first_frame).get("level", 0)
-                    self.c, gap = Circuit(wire=wire, host=self.host, peer=self.addr), constants.REDIAL
+                    self.connection, gap = (
+                        RpcConnection(wire=wire, host=self.host, peer=self.addr),
+                        constants.RECONNECT_DELAY,
+                    )
                     self.connected.set()
-                    await self.c.run()
+                    await self.connection.run()
             except (TimeoutError, OSError):
                 pass
             finally:
                 if wire is not None:
                     wire.close()  # also a connection whose peer accepted it and sent no hello
             self.connected.clear()
-            await asyncio.sleep(gap * (0.5 + self.host.seam.rng.random()))
+            await asyncio.sleep(gap * (0.5 + self.host.runtime.rng.random()))
             gap = min(gap * 2, constants.RECONNECT_DELAY_MAX)
 
     @property
     def up(self):
-        return self.c is not None and self.c.up
+        return self.connection is not None and self.connection.up
 
     def silent(self, *, now):
         """Whether the peer owes answers and has been silent for PEER_SILENT_AFTER."""
-        return self.up and self.c.slab.n > 0 and now - self.c.heard > constants.PEER_SILENT_AFTER
+        return (
+            self.up
+            and self.connection.pending_requests.n > 0
+            and now - self.connection.heard > constants.PEER_SILENT_AFTER
+        )
 
-    async def call(self, *, op, request, wait=constants.CALL_WAIT):
+    async def call(self, *, op, request, wait=constants.REQUEST_TIMEOUT):
         """Sends a request and returns its result; CircuitDown at once while there is no connection."""
         if not self.up:
             return CircuitDown(addr=self.addr)
-        return await self.c.call(op=op, request=request, wait=wait)
+        return await self.connection.call(op=op, request=request, wait=wait)
 
-    def ask(self, *, op, request, callback, wait=constants.CALL_WAIT):
+    def send_request(self, *, op, request, callback, wait=constants.REQUEST_TIMEOUT):
         """Sends a request; the callback is called once with its result."""
         if not self.up:
             callback(CircuitDown(addr=self.addr))
             return
-        self.c.ask(op=op, request=request, callback=callback, wait=wait)
+        self.connection.send_request(op=op, request=request, callback=callback, wait=wait)
 
 
-def check_hello(*, host, m, addr=""):
+def hello_failure(*, host, m, addr=""):
     """The failure of a peer's first frame `m`, or None. `addr`: the address that was dialled. A daemon that
     answers there under another address is not the peer for which votes, acknowledgements and leases on this
     connection would be counted. Versions before 0.3 do not send their address."""
     if m is None:
         return CircuitDown(addr="")
     hello = unpack(m)
-    wanted = [("v", constants.WIRE_VERSION), ("cluster", host.params.cluster)]
+    wanted = [("v", constants.WIRE_VERSION), ("cluster", host.settings.cluster)]
     if addr and "addr" in hello:
         wanted.append(("addr", addr))
     for field, value in wanted:
@@ -207,33 +216,33 @@
     return None
 
 
-class HostMixin:
+class RpcServerMixin:
     """Accepts RPC connections for a daemon and serves the requests on them."""
 
     def hello(self):
         return {
             "v": constants.WIRE_VERSION,
-            "cluster": self.params.cluster,
-            "id": self.params.id,
-            "addr": self.params.addr,
+            "cluster": self.settings.cluster,
+            "id": self.settings.id,
+            "addr": self.settings.addr,
             "level": constants.LEVEL,
         }
 
     async def accept_connection(self, wire):
         try:
-            first_frame = await asyncio.wait_for(wire.recv(), constants.DIAL_WAIT)
+            first_frame = await asyncio.wait_for(wire.recv(), constants.CONNECT_TIMEOUT)
         except TimeoutError:
             first_frame = None
         if first_frame is None:
             wire.close()
             return
         wire.send(pack(self.hello()))
-        failure = check_hello(host=self, m=first_frame)
+        failure = hello_failure(host=self, m=first_frame)
         if failure is not None:
             self.say(log_events.HELLO_REFUSED, addr="in", problem=failure)
             wire.close()
             return
-        connection = Circuit(wire=wire, host=self, peer=unpack(first_frame).get("id", ""))
+        connection = RpcConnection(wire=wire, host=self, peer=unpack(first_frame).get("id", ""))
         self.connections[connection] = True
         try:
             await connection.run()
@@ -254,5 +263,5 @@
             handler(request=request, callback=callback, caller=caller)
         except Exception as error:  # must not end the other requests of the connection
             self.say(log_events.SERVE_BROKEN, op=op, problem=repr(error))
-            self.oops(error)
+            self.log_exception(error)
             callback(Broken(where=op, why=type(error).__name__))
--- a/hollowhall/base/connections.py
+++ b/hollowhall/base/connections.py
@@ -92,7 +92,7 @@
                 self.over_bound[connection] = True
             else:
                 self.evict(connection=idle, why="dropped")
-        if bounds.clients and len(self.all) > bounds.clients + bounds.spare:
+        if bounds.clients and len(self.all) > bounds.clients + bounds.priority:
             self.evict(connection=self.oldest(but=connection) or connection, why="dropped")
 
     def removed(self, connection):
--- a/hollowhall/base/daemon.py
+++ b/hollowhall/base/daemon.py
@@ -9,7 +9,7 @@
 from mode import Service
 
 from . import constants, log_events
-from .circuit import HostMixin, Link
+from .circuit import RpcClient, RpcServerMixin
 from .here import LocalClient
 from .loop_time import LoopTime
 from .params import LIVE
@@ -27,60 +27,73 @@
 )
 
 
-class StoreMixin:
+class StoreClientMixin:
     """The client of the store, in any daemon."""
 
     def open_store(self):
         self.links = {}
         self.avoided_until = {}  # store member: until when others are asked first, as it did not answer
-        self.alms = getattr(self, "alms", list(self.params.seeds))
-        for address in self.alms:
+        self.store_addresses = getattr(self, "alms", list(self.settings.seeds))
+        for address in self.store_addresses:
             self.link(addr=address)
 
     def link(self, *, addr):
         """The client for an address, made on first use."""
         if addr not in self.links:
-            host = self.here.get(addr)
+            host = self.local_daemons.get(addr)
             self.links[addr] = (
-                Link(host=self, addr=addr) if host is None else LocalClient(host=host, caller=self.params.id)
+                RpcClient(host=self, addr=addr)
+                if host is None
+                else LocalClient(host=host, caller=self.settings.id)
             )
         return self.links[addr]
 
     async def store(
-        self, *, op, request, wait=constants.CALL_WAIT, safe=False, total=4.0, of="store", sent=lambda: None
+        self,
+        *,
+        op,
+        request,
+        wait=constants.REQUEST_TIMEOUT,
+        safe=False,
+        total=4.0,
+        of="store",
+        sent=lambda: None,
     ):
         """Sends a request to the leader `of` the store or the clock and returns the last attempt's result.
         `safe` requests may be repeated if it is unknown whether they were applied; others only if they
         certainly were not. `wait`: s, for one attempt; `total`: s, for all. `sent` is called before each
         attempt."""
-        end, tries, result, unsure = self.seam.now() + total, 0, Late(op=op), False
+        end, tries, result, unsure = self.runtime.now() + total, 0, Late(op=op), False
         ring = self.in_order()
-        while self.seam.now() < end:
-            address = self.leads[of] or ring[tries % len(ring)]
+        while self.runtime.now() < end:
+            address = self.known_leaders[of] or ring[tries % len(ring)]
             tries += 1
             sent()
             result = await self.link(addr=address).call(op=op, request=request, wait=wait)
             if result.ok or not (result.taken == "no" or safe):
-                self.leads[of] = address if result.ok else ""
+                self.known_leaders[of] = address if result.ok else ""
                 return result
             if not isinstance(result, (NotLeader, CircuitDown, Late, Unsure, Full, Broken)):
                 return result
             unsure = unsure or result.taken != "no"
             hint = getattr(result, "hint", "")
-            self.leads[of] = hint if hint and hint != address else ""
-            if not self.leads[of]:
-                await asyncio.sleep(0.03 + 0.05 * self.seam.rng.random())
+            self.known_leaders[of] = hint if hint and hint != address else ""
+            if not self.known_leaders[of]:
+                await asyncio.sleep(0.03 + 0.05 * self.runtime.rng.random())
         return Unsure(why=op) if unsure and result.taken == "no" else result
 
     def in_order(self):
         """The store members in the order in which to try them while no leader is known: only the one in this
         process, if there is one, since it learns of a leader first; otherwise in random order, with those
         that owe answers and are silent last."""
-        own, now = [address for address in self.alms if address in self.here], self.seam.now()
+        own, now = (
+            [address for address in self.store_addresses if address in self.local_daemons],
+            self.runtime.now(),
+        )
         if own:
             return own
-        ring = list(self.alms)
-        self.seam.rng.shuffle(ring)
+        ring = list(self.store_addresses)
+        self.runtime.rng.shuffle(ring)
         return sorted(ring, key=lambda address: self.link(addr=address).silent(now=now))
 
     async def keep_lease(self, *, hold):
@@ -88,89 +101,91 @@
         until the next keep-alive). The lease counts from the start of the attempt that was answered: the
         store counts from that attempt's arrival or later, and an earlier attempt that was lost proves
         nothing."""
-        at = [self.seam.now()]
+        at = [self.runtime.now()]
         result = await self.store(
             op="keep",
             request={"hold": hold},
-            wait=constants.KEEP_WAIT,
+            wait=constants.KEEPALIVE_ATTEMPT_TIMEOUT,
             safe=True,
             total=constants.KEEPALIVE_TOTAL_TIMEOUT,
-            sent=lambda: at.append(self.seam.now()),
+            sent=lambda: at.append(self.runtime.now()),
         )
-        took = self.seam.now() - at[0]  # the period runs from the start of one keep-alive to the next
+        took = self.runtime.now() - at[0]  # the period runs from the start of one keep-alive to the next
         return (
             result,
             at[-1],
-            max(constants.HOLD_RETRY, constants.HOLD_KEEP - took) if result.ok else constants.HOLD_RETRY,
+            max(constants.KEEPALIVE_RETRY_DELAY, constants.KEEPALIVE_PERIOD - took)
+            if result.ok
+            else constants.KEEPALIVE_RETRY_DELAY,
         )
 
-    async def near(self, *, op, request, wait=constants.CALL_WAIT, at=""):
+    async def ask_any_member(self, *, op, request, wait=constants.REQUEST_TIMEOUT, at=""):
         """Sends a request that any store member answers, such as a long poll, to a connected one: the member
         `at` if possible, else the one in this process, else preferably not one that is `risky`."""
-        now = self.seam.now()
-        up = [address for address in self.alms if self.link(addr=address).up]
+        now = self.runtime.now()
+        up = [address for address in self.store_addresses if self.link(addr=address).up]
         up = [address for address in up if self.avoided_until.get(address, 0.0) < now] or up
         if not up:
-            await asyncio.sleep(constants.REDIAL)
+            await asyncio.sleep(constants.RECONNECT_DELAY)
             return Late(op=op)
-        first = [address for address in (at, *self.here) if address in up]
-        risky = self.risky()
+        first = [address for address in (at, *self.local_daemons) if address in up]
+        risky = self.members_to_avoid()
         chosen = (
             first[0]
             if first
-            else self.seam.rng.choice([address for address in up if address not in risky] or up)
+            else self.runtime.rng.choice([address for address in up if address not in risky] or up)
         )
         result = await self.links[chosen].call(op=op, request=request, wait=wait)
-        if not result.ok and chosen not in self.here:  # the member in this process is never avoided
+        if not result.ok and chosen not in self.local_daemons:  # the member in this process is never avoided
             self.avoided_until[chosen] = now + constants.DEPRIORITIZED_FOR
         elif result.ok and isinstance(result.value, dict) and result.value.get("lead"):
-            self.leads["store"] = result.value["lead"]
+            self.known_leaders["store"] = result.value["lead"]
         return result
 
-    def risky(self):
+    def members_to_avoid(self):
         """Store members whose failure a long poll is meant to report: a client that polls such a member
         learns of it last, once the connection is found to be dead."""
-        return {self.leads["store"]}
+        return {self.known_leaders["store"]}
 
 
-class Daemon(HostMixin, StoreMixin, Service):
+class Daemon(RpcServerMixin, StoreClientMixin, Service):
     """The base class of the daemons. A role overrides `open`, `shut` and `leave`."""
 
     abstract = True
     role = ""
 
-    def __init__(self, *, params, seam):
+    def __init__(self, *, settings, runtime):
         super().__init__()
-        self.params, self.seam, self.connections = params, seam, {}
-        self.running_tasks, self.here = [], {}  # here: daemons in this process, by address
-        self.leads = {"store": "", "clock": ""}
-        self.say = getattr(seam, "writer", log_events.writer)(name=f"{self.role}.{params.id}")
-        self.leaving, self.failed, self.lag = False, None, 0.0
-        self.felt, self.woke = seam.now(), -constants.TRACK_OLD
-        self.loop_time = LoopTime(now=seam.now)
-
-    def oops(self, error):
+        self.settings, self.runtime, self.connections = settings, runtime, {}
+        self.running_tasks, self.local_daemons = [], {}  # here: daemons in this process, by address
+        self.known_leaders = {"store": "", "clock": ""}
+        self.say = getattr(runtime, "writer", log_events.writer)(name=f"{self.role}.{settings.id}")
+        self.leaving, self.failed, self.loop_lag = False, None, 0.0
+        self.lag_measured_at, self.last_stall_at = runtime.now(), -constants.TRACKED_TIME_MAX_AGE
+        self.loop_time = LoopTime(now=runtime.now)
+
+    def log_exception(self, error):
         """Keeps an exception's traceback in `trace` and logs it at debug level."""
         self.trace = "".join(traceback.format_exception(error))
         self.log.debug("%s", self.trace)
 
-    async def supervise(self, *, co, name):
+    async def supervise(self, *, coroutine, name):
         """Runs a task of the daemon; if it fails, the daemon ends with the reason."""
         try:
-            await co
+            await coroutine
         except asyncio.CancelledError:
             raise
         except GeneratorExit:
             return  # the event loop has been closed
         except Raised as error:
-            self.must_end(error.problem)
+            self.end_with_failure(error.failure)
         except Exception as error:
-            self.oops(error)
+            self.log_exception(error)
             self.say(log_events.TASK_CRASHED, task=name, problem=repr(error))
             self.failed = self.failed or error
             self.ended.set()
 
-    def must_end(self, failure):
+    def end_with_failure(self, failure):
         """Ends the daemon because of a failure, and logs it."""
         self.say(
             {NewerLevel: log_events.LEVEL_NEWER, Diverged: log_events.DIVERGED}.get(
@@ -181,37 +196,37 @@
         self.failed = self.failed or failure
         self.ended.set()
 
-    def run_task(self, *, co, name=""):
+    def run_task(self, *, coroutine, name=""):
         """Starts a task that is cancelled when the daemon stops."""
-        task = self.add_future(self.supervise(co=co, name=name or co.__name__))
+        task = self.add_future(self.supervise(coroutine=coroutine, name=name or coroutine.__name__))
         self.running_tasks = [other for other in self.running_tasks if not other.done()] + [task]
         return task
 
     async def on_start(self):
         self.ended = asyncio.Event()
-        self.server = await self.seam.net.listen(
-            addr=self.params.bind or self.params.addr, got=self.accept_connection
+        self.server = await self.runtime.net.listen(
+            addr=self.settings.bind or self.settings.addr, on_connection=self.accept_connection
         )
         self.open_store()
-        self.run_task(co=self.measure_lag(), name="feel")
+        self.run_task(coroutine=self.measure_lag(), name="feel")
         await self.open()
-        self.say(log_events.UP, role=self.role, addr=self.params.addr, zone=self.params.zone)
+        self.say(log_events.UP, role=self.role, addr=self.settings.addr, zone=self.settings.zone)
 
     async def measure_lag(self):
         """Measures how late the event loop runs, under load or during one long step."""
-        logged = -constants.SHED_SAY
+        logged = -constants.LOAD_LOG_INTERVAL
         while True:
-            start = self.seam.now()
+            start = self.runtime.now()
             await asyncio.sleep(constants.LAG_SAMPLE_PERIOD)
-            self.felt = self.seam.now()
-            late = max(0.0, self.felt - start - constants.LAG_SAMPLE_PERIOD)
-            if late > constants.LAG_HELD:
-                self.woke = self.felt
-            self.lag = max(
-                late, self.lag * 0.5 ** ((late + constants.LAG_SAMPLE_PERIOD) / constants.LAG_HALF_LIFE)
+            self.lag_measured_at = self.runtime.now()
+            late = max(0.0, self.lag_measured_at - start - constants.LAG_SAMPLE_PERIOD)
+            if late > constants.LOOP_STALL:
+                self.last_stall_at = self.lag_measured_at
+            self.loop_lag = max(
+                late, self.loop_lag * 0.5 ** ((late + constants.LAG_SAMPLE_PERIOD) / constants.LAG_HALF_LIFE)
             )
             spent = self.loop_time.take()
-            if late > constants.LAG_HELD and start - logged > constants.SHED_SAY:
+            if late > constants.LOOP_STALL and start - logged > constants.LOAD_LOG_INTERVAL:
                 logged = start
                 self.say(log_events.LOOP_HELD, ms=round(late * 1000), spent=spent)
 
@@ -239,15 +254,15 @@
         self.leaving = True
         self.say(log_events.LEAVING, role=self.role)
 
-    def take_params(self, settings):
+    def apply_settings(self, settings):
         """Applies settings re-read on SIGHUP where they can change at run time, and logs the others."""
         for name in settings.__dataclass_fields__:
-            old, new = getattr(self.params, name), getattr(settings, name)
+            old, new = getattr(self.settings, name), getattr(settings, name)
             if old != new and name in LIVE:
-                setattr(self.params, name, new)
+                setattr(self.settings, name, new)
             elif old != new and name != "found":
                 self.say(log_events.PARAMS_LATER, key=name, now=old, asked=new)
         self.say(log_events.PARAMS_TAKEN)
 
     def on_where(self, *, request, callback, caller):
-        callback(Success(value={"almanacs": self.alms, "id": self.params.id, "role": self.role}))
+        callback(Success(value={"almanacs": self.store_addresses, "id": self.settings.id, "role": self.role}))
--- a/hollowhall/base/formats.py
+++ b/hollowhall/base/formats.py
@@ -2,7 +2,7 @@
 never changes: a different value is a new level (docs/versions.md)."""
 
 LEVEL = 5  # level; the highest this version supports; 0.1.0 supported 0, 0.2.0 supported 1
-LEVEL_USUAL = 2  # level; a cluster is raised to this one by itself, to a higher one by the setting `level`
+LEVEL_DEFAULT = 2  # level; a cluster is raised to this one by itself, to a higher one by the setting `level`
 RULES = [
     {  # one dict of values for each level
         "readable_ms": 600_000,  # ms; an ended job stays readable for ten minutes
--- a/hollowhall/base/here.py
+++ b/hollowhall/base/here.py
@@ -13,9 +13,9 @@
     up, closed = True, False
 
     def __init__(self, *, host, caller):
-        self.host, self.caller, self.level, self.c = host, caller, constants.LEVEL, None
+        self.host, self.caller, self.level, self.connection = host, caller, constants.LEVEL, None
 
-    def ask(self, *, op, request, callback, wait=constants.CALL_WAIT):
+    def send_request(self, *, op, request, callback, wait=constants.REQUEST_TIMEOUT):
         """Calls the callback once: with the result, or with Late after `wait` seconds."""
         answered = []
 
@@ -28,7 +28,7 @@
         timer = asyncio.get_running_loop().call_later(wait, lambda: once(Late(op=op)))
         self.host.serve(op=op, request=request, callback=once, caller=self.caller)
 
-    async def call(self, *, op, request, wait=constants.CALL_WAIT):
+    async def call(self, *, op, request, wait=constants.REQUEST_TIMEOUT):
         """Returns the result, or Late after `wait` seconds."""
         future = asyncio.get_running_loop().create_future()
         timer = asyncio.get_running_loop().call_later(
--- a/hollowhall/base/limits.py
+++ b/hollowhall/base/limits.py
@@ -17,12 +17,12 @@
     many again for requests with priority."""
 
     clients: int = 0
-    spare: int = 0
+    priority: int = 0
     bodies: int = 0
 
 
 @dataclass(frozen=True, kw_only=True)
-class Patience:
+class ClientLimits:
     """Limits for one client, in seconds and bytes; 0 means no limit. `header_s`: from the connection or the
     first byte of a request, until its header is complete; `body_s`: from then until its body is;
     `idle_s`: between two requests."""
@@ -34,7 +34,7 @@
     body_bytes: int = 0
 
 
-def bounds_of(settings):
+def connection_bounds(settings):
     """The bounds of a daemon's listener, from its settings."""
     limits, bodies = [], 0
     if settings.descriptors:
@@ -47,25 +47,25 @@
             int(settings.memory_mb * MB * constants.CONNECTIONS_MEMORY_FRACTION) // constants.CONNECTION_BYTES
         )
         bodies = int(settings.memory_mb * MB * constants.BODIES_MEMORY_FRACTION)
-    total = max(constants.DOOR_LEAST, min(limits)) if limits else 0
+    total = max(constants.LISTENER_CONNECTIONS_MIN, min(limits)) if limits else 0
     spare = int(total * constants.PRIORITY_CONNECTIONS_FRACTION)
-    return Bounds(clients=total - spare, spare=spare, bodies=bodies)
+    return Bounds(clients=total - spare, priority=spare, bodies=bodies)
 
 
-def undivided(bounds):
+def bounds_for_one_kind(bounds):
     """The bounds of a listener whose clients are all of one kind: nearly all connections are for any client,
     the rest for answering those that are refused."""
-    reserved = min(bounds.spare, max(constants.REFUSAL_CONNECTIONS, bounds.spare // 4))
-    return replace(bounds, clients=bounds.clients + bounds.spare - reserved, spare=reserved)
+    reserved = min(bounds.priority, max(constants.REFUSAL_CONNECTIONS, bounds.priority // 4))
+    return replace(bounds, clients=bounds.clients + bounds.priority - reserved, spare=reserved)
 
 
-def patience_of(*, settings, limits):
+def client_limits(*, settings, limits):
     """The limits for clients: the operator's `limits` (milliseconds and bytes), or defaults for a process
     with resource limits."""
     limited = bool(settings.descriptors or settings.memory_mb)
     header = limits.get("headerMs", 0) / 1000 or limited * constants.HEADER_TIMEOUT
     idle = limits.get("idleMs", 0) / 1000 or limited * constants.IDLE_TIMEOUT
-    return Patience(
+    return ClientLimits(
         header_s=header,
         body_s=max(header, limited * constants.BODY_TIMEOUT),
         idle_s=idle,
@@ -76,4 +76,4 @@
 
 def record_bytes(settings):
     """Bytes; size of the record from which new jobs are refused. 0: no limit."""
-    return int(settings.memory_mb * MB * constants.RECORD_PART)
+    return int(settings.memory_mb * MB * constants.RECORD_MEMORY_FRACTION)
--- a/hollowhall/base/params.py
+++ b/hollowhall/base/params.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(kw_only=True)
-class Params:
+class DaemonSettings:
     """The settings of a daemon, with their defaults."""
 
     id: str
@@ -45,16 +45,16 @@
     found: bool = False
     log: str = "info"
     shed_at: int = 400
-    ring_files: int = constants.RING_FILES
-    ring_bytes: int = constants.RING_BYTES
+    ring_files: int = constants.LOG_SEGMENTS
+    ring_bytes: int = constants.LOG_SEGMENT_BYTES
     snap_every: int = constants.SNAPSHOT_INTERVAL_ENTRIES
-    level: int = constants.LEVEL_USUAL
+    level: int = constants.LEVEL_DEFAULT
     desk: str = ""  # address of the scheduler in a `hall`
     auto_members: bool = False
     far_times: float = 2.0
     reserved_percent: int = constants.RESERVED_PERCENT
     hold_ms: int = constants.WORKER_LEASE_MS
-    margin_ms: int = int(constants.WORKER_MARGIN * 1000)
+    margin_ms: int = int(constants.WORKER_LEASE_MARGIN * 1000)
     memory_mb: int = 0
     descriptors: int = 0
     join: bool = False
@@ -63,7 +63,7 @@
     extra: Any = None
 
 
-class ParamsSchema(Schema):
+class DaemonSettingsSchema(Schema):
     """Validates settings by key, and then those that depend on the role."""
 
     id = fields.Str(required=True, validate=NAME)
@@ -79,7 +79,9 @@
     log = fields.Str(validate=validate.OneOf(["debug", "info", "warning", "error"]))
     shed_at = fields.Int(strict=True, validate=validate.Range(min=8, max=4096))
     ring_files = fields.Int(strict=True, validate=validate.Range(min=3, max=64))
-    ring_bytes = fields.Int(strict=True, validate=validate.Range(min=2 * constants.ENTRY_MAX, max=1 << 28))
+    ring_bytes = fields.Int(
+        strict=True, validate=validate.Range(min=2 * constants.ENTRY_MAX_BYTES, max=1 << 28)
+    )
     join = fields.Bool(truthy={True}, falsy={False})
     level = fields.Int(strict=True, validate=validate.Range(min=0, max=constants.LEVEL))
     desk = fields.Str(validate=address)
@@ -104,26 +106,28 @@
             errors.append(["http", "a mast needs an address for HTTP"])
         if errors:
             raise Raised(BadParams(errors=errors))
-        return Params(**values)
+        return DaemonSettings(**values)
 
 
-def flat(*, e, at=""):
+def flat(*, messages, at=""):
     """marshmallow's nested messages `e` as a list of [key, reason]; `at`: the key they belong to."""
-    if isinstance(e, dict):
+    if isinstance(messages, dict):
         return [
-            row for key, inner in e.items() for row in flat(e=inner, at=f"{at}.{key}" if at else str(key))
+            row
+            for key, inner in messages.items()
+            for row in flat(messages=inner, at=f"{at}.{key}" if at else str(key))
         ]
-    if isinstance(e, list):
-        return [row for inner in e for row in flat(e=inner, at=at)]
-    return [[at, str(e)]]
+    if isinstance(messages, list):
+        return [row for inner in messages for row in flat(messages=inner, at=at)]
+    return [[at, str(messages)]]
 
 
 def check(values):
     """Settings from a dict; raises Raised(BadParams) that lists every invalid key."""
     try:
-        return ParamsSchema().load(values)
+        return DaemonSettingsSchema().load(values)
     except ValidationError as error:
-        raise Raised(BadParams(errors=flat(e=error.messages))) from None
+        raise Raised(BadParams(errors=flat(messages=error.messages))) from None
 
 
 def read(*, path, flags):
--- a/hollowhall/base/probe.py
+++ b/hollowhall/base/probe.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from . import constants
-from .circuit import ASK, pack, unpack
+from .circuit import REQUEST_FRAME, pack, unpack
 from .problem_codec import from_wire
 from .problems import CircuitDown, Late
 from .seam import Net
@@ -17,7 +17,7 @@
         return CircuitDown(addr=addr)
     try:
         wire.send(pack({"v": constants.WIRE_VERSION, "cluster": cluster, "id": "probe"}))
-        wire.send(pack([ASK, 0, 0, op, request]))
+        wire.send(pack([REQUEST_FRAME, 0, 0, op, request]))
         await asyncio.wait_for(wire.recv(), wait)
         frame = await asyncio.wait_for(wire.recv(), wait)
         return from_wire(unpack(frame)[3]) if frame else CircuitDown(addr=addr)
--- a/hollowhall/base/problems.py
+++ b/hollowhall/base/problems.py
@@ -35,7 +35,7 @@
 
     def __init__(self, problem):
         super().__init__(repr(problem))
-        self.problem = problem
+        self.failure = problem
 
 
 def failure(*, status=503, taken="no"):
--- a/hollowhall/base/seam.py
+++ b/hollowhall/base/seam.py
@@ -48,14 +48,16 @@
 
     async def dial(self, *, addr):
         host, port = split(addr)
-        reader, writer = await asyncio.wait_for(asyncio.open_connection(host, port), constants.DIAL_WAIT)
+        reader, writer = await asyncio.wait_for(
+            asyncio.open_connection(host, port), constants.CONNECT_TIMEOUT
+        )
         return Wire(reader=reader, writer=writer)
 
-    async def listen(self, *, addr, got):
+    async def listen(self, *, addr, on_connection):
         host, port = split(addr)
 
         async def on(reader, writer):
-            await got(Wire(reader=reader, writer=writer))
+            await on_connection(Wire(reader=reader, writer=writer))
 
         return await asyncio.start_server(on, host, port)
 
@@ -129,7 +131,7 @@
         await asyncio.get_running_loop().run_in_executor(None, self._whole, name, data)
 
 
-class Seam:
+class Runtime:
     """The real runtime. `folder`: where `disk` keeps its files; without it there is no disk."""
 
     def __init__(self, *, folder=None, seed=None):
--- a/hollowhall/desk/__init__.py
+++ b/hollowhall/desk/__init__.py
@@ -7,7 +7,7 @@
 from ..base import constants, log_events
 from ..base.daemon import Daemon
 from ..base.problems import NotPrimary
-from ..base.ring_place import MemberMixin
+from ..base.ring_place import MonitoringMixin
 from ..record import Record
 from .beats import BeatsMixin
 from .budget_requests import BudgetRequestsMixin
@@ -38,7 +38,7 @@
     OutcomesMixin,
     ReservationRequestsMixin,
     BudgetRequestsMixin,
-    MemberMixin,
+    MonitoringMixin,
     Daemon,
 ):
     """A scheduler daemon, primary or standby.
@@ -52,9 +52,9 @@
     role = "desk"
     make_record = Record
 
-    def __init__(self, *, params, seam):
-        super().__init__(params=params, seam=seam)
-        self.policy = read_policy(off=params.policy_off)
+    def __init__(self, *, settings, runtime):
+        super().__init__(settings=settings, runtime=runtime)
+        self.policy = read_policy(off=settings.policy_off)
         self.record, self.applied = self.make_record(), 0
         self.part, self.epoch, self.hold, self.until = TAILING, 0, 0, 0.0
         self.primary, self.checksums, self.loaded = "", {}, 0
@@ -68,10 +68,10 @@
         self.open_trace()
         self.open_beats()
         self.open_budget_requests()
-        self.open_member()
-        self.run_task(co=self.tail(), name="tail")
-        self.run_task(co=self.pair(), name="pair")
-        self.run_task(co=self.listen_primary(), name="listen")
+        self.open_monitoring()
+        self.run_task(coroutine=self.tail(), name="tail")
+        self.run_task(coroutine=self.pair(), name="pair")
+        self.run_task(coroutine=self.listen_primary(), name="listen")
 
     def to(self, *, state):
         """Changes this scheduler's role in the election; nothing else does."""
@@ -85,7 +85,7 @@
 
     def live(self):
         """Whether this scheduler is primary now, by a clock that also runs while the machine is suspended."""
-        return self.part == PRIMARY and self.seam.now() < self.until
+        return self.part == PRIMARY and self.runtime.now() < self.until
 
     # --- the standby
 
@@ -108,27 +108,27 @@
                 continue
             primary_entry, next_entry = result.value["kv"].get(PRIMARY_KEY), result.value["kv"].get(NEXT_KEY)
             self.primary = primary_entry["v"]["addr"] if primary_entry else ""
-            if primary_entry is not None and self.primary == self.params.addr:  # from before a restart
+            if primary_entry is not None and self.primary == self.settings.addr:  # from before a restart
                 await self.store(op="revoke", request={"hold": primary_entry["hold"]})
                 continue
             if primary_entry is not None:
-                result = await self.near(
+                result = await self.ask_any_member(
                     op="watch",
                     request={"p": "desk/", "rev": result.value["rev"]},
-                    wait=constants.WATCH_WAIT + 1,
+                    wait=constants.LONG_POLL_TIMEOUT + 1,
                 )
                 if not result.ok:
-                    await asyncio.sleep(constants.HOLD_RETRY)
+                    await asyncio.sleep(constants.KEEPALIVE_RETRY_DELAY)
                 continue
             successor = next_entry["v"] if next_entry else ""
-            if successor and successor != self.params.id and not self.held_back:
+            if successor and successor != self.settings.id and not self.held_back:
                 self.held_back = True  # the named successor campaigns first, once
-                await asyncio.sleep(constants.HOLD_KEEP)
+                await asyncio.sleep(constants.KEEPALIVE_PERIOD)
                 continue
             self.held_back = False
             await self.first_go()
             if not self.can_open():
-                await asyncio.sleep(constants.HOLD_KEEP)
+                await asyncio.sleep(constants.KEEPALIVE_PERIOD)
                 continue
             await self.campaign()
 
@@ -145,8 +145,8 @@
         """The id of the scheduler that is to campaign first when this one leaves; '' for no preference."""
         ids = sorted(
             member_id
-            for member_id, card in self.view.items()
-            if card["role"] == "desk" and member_id != self.params.id and not card.get("down")
+            for member_id, card in self.fleet.items()
+            if card["role"] == "desk" and member_id != self.settings.id and not card.get("down")
         )
         return ids[0] if ids else ""
 
@@ -156,12 +156,15 @@
 
     async def campaign(self):
         """Acquires a lease, puts it on the primary key and serves as primary for as long as it lasts."""
-        asked_at = self.seam.now()
-        result = await self.store(op="grant", request={"ttl": constants.HOLD_TTL, "level": constants.LEVEL})
+        asked_at = self.runtime.now()
+        result = await self.store(op="grant", request={"ttl": constants.LEASE_TTL, "level": constants.LEVEL})
         if not result.ok:
             return
-        self.hold, self.until = result.value["hold"], asked_at + constants.HOLD_TTL - constants.HOLD_SLACK
-        card = {"id": self.params.id, "addr": self.params.addr}
+        self.hold, self.until = (
+            result.value["hold"],
+            asked_at + constants.LEASE_TTL - constants.LEASE_SAFETY_MARGIN,
+        )
+        card = {"id": self.settings.id, "addr": self.settings.addr}
         result = await self.store(
             op="txn",
             request={
@@ -173,14 +176,14 @@
             if result.ok:
                 await self.store(op="revoke", request={"hold": self.hold})
             return
-        self.epoch, self.primary, behind = result.value["rev"], self.params.addr, False
+        self.epoch, self.primary, behind = result.value["rev"], self.settings.addr, False
         renewal = asyncio.ensure_future(self.renew_lease())
         try:
             self.to(state=OPENING)
             if await self.fence_earlier_epochs():
                 self.to(state=PRIMARY)
                 await self.run_batches()
-            elif self.seam.now() < self.until:  # another scheduler may be able to read the record
+            elif self.runtime.now() < self.until:  # another scheduler may be able to read the record
                 self.until, behind = 0.0, True
                 self.say(log_events.DESK_BEHIND, index=self.applied)
                 await self.store(op="revoke", request={"hold": self.hold}, safe=True, total=1.0)
@@ -189,24 +192,24 @@
             self.to(state=TAILING)
         if behind:
             # the others campaign first: whoever revokes the lease would learn of it before them
-            await asyncio.sleep(constants.HOLD_TTL)
+            await asyncio.sleep(constants.LEASE_TTL)
 
     async def renew_lease(self):
         """Renews the primary's lease until it has expired or the store no longer knows it."""
-        pause = constants.HOLD_KEEP
-        while self.seam.now() < self.until:
+        pause = constants.KEEPALIVE_PERIOD
+        while self.runtime.now() < self.until:
             await asyncio.sleep(pause)
             result, granted_at, pause = await self.keep_lease(hold=self.hold)
-            if result.ok and self.seam.now() < self.until:
-                self.until = granted_at + constants.HOLD_TTL - constants.HOLD_SLACK
+            if result.ok and self.runtime.now() < self.until:
+                self.until = granted_at + constants.LEASE_TTL - constants.LEASE_SAFETY_MARGIN
             elif type(result).__name__ == "Unknown":
                 self.until = 0.0
 
     async def fence_earlier_epochs(self):
         """Reads all confirmed entries, then commits a batch that fences every earlier epoch. True if both
-        were done within OPEN_WAIT and the lease."""
-        deadline = self.seam.now() + constants.OPEN_WAIT
-        while self.seam.now() < min(self.until, deadline):
+        were done within RECORD_READ_TIMEOUT and the lease."""
+        deadline = self.runtime.now() + constants.RECORD_READ_TIMEOUT
+        while self.runtime.now() < min(self.until, deadline):
             result = await self.store(op="where_to", request={}, safe=True, total=1.0)
             if result.ok and await self.tail_to(result.value["i"], wait=1.0):
                 if await self.commit(events=[["open"]]) is not None:
@@ -231,4 +234,4 @@
         await self.store(op="revoke", request={"hold": self.hold}, safe=True, total=2.0)
 
     def not_primary(self):
-        return NotPrimary(hint=self.primary if self.primary != self.params.addr else "")
+        return NotPrimary(hint=self.primary if self.primary != self.settings.addr else "")
--- a/hollowhall/desk/aims.py
+++ b/hollowhall/desk/aims.py
@@ -10,10 +10,10 @@
 
 def tails_ms(*, spec):
     """For each step of a job, the longest chain of work in ms from its start to the job's end, by the
-    estimates. A job of more than CHAIN_STEPS steps counts as if each step waited for all before it."""
+    estimates. A job of more than CHAIN_STEPS_MAX steps counts as if each step waited for all before it."""
     steps = spec["steps"]
-    estimates = {step["name"]: step.get("estimateMs") or constants.FAR_MS for step in steps}
-    if len(steps) > constants.CHAIN_STEPS:
+    estimates = {step["name"]: step.get("estimateMs") or constants.DEFAULT_TASK_MS for step in steps}
+    if len(steps) > constants.CHAIN_STEPS_MAX:
         remaining, tails = 0, {}
         for step in reversed(steps):
             remaining += estimates[step["name"]]
@@ -53,7 +53,7 @@
     def of(self, job):
         """(a job's aim_ms, the tails_ms of its steps)."""
         if job.name not in self.known:
-            if len(self.known) >= constants.AIMS_MOST:
+            if len(self.known) >= constants.TARGET_TIMES_CACHED_MAX:
                 self.known.clear()
             tails = tails_ms(spec=job.spec)
             self.known[job.name] = aim_ms(tails=tails, row=self.rows().get(job.lane, {})), tails
--- a/hollowhall/desk/backfill.py
+++ b/hollowhall/desk/backfill.py
@@ -58,7 +58,7 @@
     def waits_long(self, step_key):
         """Whether a ready step has waited so long that workers on trial are better than none."""
         task = next(iter(self.rec.ready[step_key].values()))
-        return self.now - max(task.at >> constants.LOGICAL_BITS, task.due) > constants.FLAKY_WAIT_MS
+        return self.now - max(task.at >> constants.LOGICAL_BITS, task.due) > constants.PROBATION_WAIT_MAX_MS
 
     def reserve(self, *, task, step, eligible):
         """Holds back the worker that lacks the least room for a task; one per step, and at most half of the
@@ -106,7 +106,7 @@
         for worker_id in held_ids - chosen_ids:
             del self.kept[worker_id]
         self.kept.update((worker_id, step_key) for worker_id in chosen_ids)
-        self.kept_until[step_key] = self.now + max(constants.DRAIN_LOOK_MS, wait_ms)
+        self.kept_until[step_key] = self.now + max(constants.DRAIN_CHOICE_PERIOD_MS, wait_ms)
 
     def places_by_drain(self, *, step_key, step, workers, lane):
         """(ms until all members have room, worker ids), by the expected ends of the running attempts; None if
@@ -148,7 +148,7 @@
         """[(ms until it ends, the room it frees)] of the attempts on a worker, the first to end first.
         Computed once per round, unless an attempt is started there."""
         if worker.id not in self.drains:
-            self.round_time.spend(s=constants.DRAIN_LOOK_S)
+            self.round_time.spend(s=constants.DRAIN_ESTIMATE_CPU_S)
             ends = ((self.left_ms(attempt), attempt.room) for attempt in worker.runs.values())
             self.drains[worker.id] = sorted(ends, key=lambda end: end[0])
         return self.drains[worker.id]
@@ -163,5 +163,5 @@
         rows, key = self.rec.charter["rows"], self.kept[worker.id]
         holder = rows.get(self.rec.jobs[key[0]].lane)
         more_urgent = holder is not None and rows[lane]["urgency"] > holder["urgency"]
-        margin = 1.0 if more_urgent and self.policy.urgent_borrow else constants.BACKFILL_TIMES
+        margin = 1.0 if more_urgent and self.policy.urgent_borrow else constants.BACKFILL_DURATION_FACTOR
         return self.now + margin * usual_ms <= self.kept_until.get(key, 0)
--- a/hollowhall/desk/beats.py
+++ b/hollowhall/desk/beats.py
@@ -10,7 +10,7 @@
 from ..base import constants, log_events
 from ..base.loop_time import in_section
 from ..base.problems import BadInput, Success
-from ..base.slab import Slab
+from ..base.slab import PendingRequests
 from ..record.kinds import LEAVES, LOST
 from .care import CareMixin
 from .orders import OrdersMixin
@@ -23,14 +23,18 @@
 
     def open_beats(self):
         # `judged` holds the share of failures of each worker at the time it was set aside
-        self.sessions, self.beat_slab, self.judged = {}, Slab(cap=constants.SLAB_CAP), {}
+        self.sessions, self.beat_slab, self.judged = (
+            {},
+            PendingRequests(capacity=constants.PENDING_REQUESTS_PER_CONNECTION),
+            {},
+        )
         self.gangs_taken_back = set()  # runs whose stop is queued for a batch
-        self.run_task(co=self.watch_workers(), name="mind")
+        self.run_task(coroutine=self.watch_workers(), name="mind")
 
     def start_beats(self):
         """Opens a session for each known worker on takeover. Its lease counts from now, since the previous
         primary may have renewed it just now."""
-        now = self.seam.now()
+        now = self.runtime.now()
         self.sessions = {
             worker_id: WorkerSession(boot=worker.boot, until=now + self.lease_s(), since=now)
             for worker_id, worker in self.record.workers.items()
@@ -38,7 +42,7 @@
 
     def lease_s(self):
         """Seconds after its last beat until a worker's lease counts as expired here, margin included."""
-        return (self.params.hold_ms + self.params.margin_ms) / 1000
+        return (self.settings.hold_ms + self.settings.margin_ms) / 1000
 
     def close_sessions(self):
         """Refuses the beats that wait for an answer and forgets all sessions."""
@@ -52,7 +56,7 @@
         if not self.live() or self.leaving:
             callback(self.not_primary())
             return
-        worker_id, now = request["id"], self.seam.now()
+        worker_id, now = request["id"], self.runtime.now()
         session, worker = (
             self.sessions.setdefault(worker_id, WorkerSession()),
             self.record.workers.get(worker_id),
@@ -122,20 +126,20 @@
     def answer_delay_s(self, session):
         """Seconds for which a beat without news is held before it is answered."""
         if session.leave_requested:
-            return constants.BEAT_LEAVE
+            return constants.DEPARTURE_ACK_TIMEOUT
         return (
-            constants.BEAT_BUSY
+            constants.HEARTBEAT_ANSWER_DELAY_BUSY
             if session.named and session.running and not session.ends
-            else constants.BEAT_HELD
+            else constants.HEARTBEAT_ANSWER_DELAY
         )
 
     def answer_soon(self, *, worker_id, session):
-        """Answers a waiting beat BEAT_ENDS seconds after its report is recorded, so that the answer can hold
+        """Answers a waiting beat HEARTBEAT_ANSWER_DELAY_ENDS seconds after its report is recorded, so that the answer can hold
         a new start as well."""
         slot = session.slot
         if slot is not None and session.named:
             asyncio.get_running_loop().call_later(
-                constants.BEAT_ENDS,
+                constants.HEARTBEAT_ANSWER_DELAY_ENDS,
                 lambda: session.slot == slot and self.answer_beat(worker_id=worker_id, session=session),
             )
 
@@ -246,8 +250,8 @@
             )
 
     def has_new_orders(self, *, worker_id, session):
-        """Whether there is a start or stop that was not sent within NEWS_AGAIN, or a leave to acknowledge."""
-        now = self.seam.now()
+        """Whether there is a start or stop that was not sent within ORDER_RESEND_DELAY, or a leave to acknowledge."""
+        now = self.runtime.now()
         starts, stops = self.orders(worker_id=worker_id, session=session)
         if (
             session.leave_requested
@@ -257,7 +261,8 @@
             return True
         stops = stops + session.unknown_attempts
         return any(
-            now - session.orders_sent.get(order, -9.0) > constants.NEWS_AGAIN for order in starts + stops
+            now - session.orders_sent.get(order, -9.0) > constants.ORDER_RESEND_DELAY
+            for order in starts + stops
         )
 
     def beat_outcome(self, *, worker_id, session):
@@ -265,7 +270,7 @@
         if not self.live() or session.going:  # its attempts may end in the batch in flight
             return self.not_primary()
         starts, stops = self.orders(worker_id=worker_id, session=session)
-        now, worker = self.seam.now(), self.record.workers.get(worker_id)
+        now, worker = self.runtime.now(), self.record.workers.get(worker_id)
         session.orders_sent = {order: now for order in starts + stops + session.unknown_attempts}
         if session.leave_requested and (worker is None or worker.state != LEAVES):
             return self.not_primary()  # a leave is acknowledged once it is recorded
@@ -278,8 +283,8 @@
             value={
                 "starts": cards,
                 "stops": stops,
-                "holdMs": self.params.hold_ms,
-                "validMs": constants.START_VALID_MS,
+                "holdMs": self.settings.hold_ms,
+                "validMs": constants.START_ORDER_VALID_MS,
                 "epoch": self.epoch,
                 "known": worker is not None and worker.boot == session.boot,
                 "state": worker.state if worker else "",
@@ -291,7 +296,7 @@
 
     def answer_beat(self, *, worker_id, session):
         """Answers the beat that a session has waiting."""
-        callback = self.beat_slab.take(i=session.slot[0], g=session.slot[1])
+        callback = self.beat_slab.take(index=session.slot[0], generation=session.slot[1])
         session.slot = None
         if callback is not None:
             callback(self.beat_outcome(worker_id=worker_id, session=session))
--- a/hollowhall/desk/care.py
+++ b/hollowhall/desk/care.py
@@ -27,7 +27,7 @@
             if attempt is not None and not self.record.jobs[attempt.job].steps[attempt.step].spec.get(
                 "forever"
             ):
-                self.windows.setdefault(attempt.worker, deque(maxlen=constants.FLAKY_KEEP)).append(
+                self.windows.setdefault(attempt.worker, deque(maxlen=constants.WORKER_ENDS_KEPT)).append(
                     event[2] == "bad"
                 )
 
@@ -68,7 +68,7 @@
             worker.state != LOST
             or session is not None
             and session.seq >= 0
-            and self.seam.now() < session.until
+            and self.runtime.now() < session.until
         ):
             callback(Refused(why="the worker is not lost"))
         else:
@@ -91,29 +91,32 @@
     waits_logged_at = 0.0  # s; by our clock
 
     def say_waits(self, *, now, ms):
-        """Logs why steps wait longer than WAITS_LONG_MS: a few of them, at most every WAITS_SAY seconds."""
-        if now - self.waits_logged_at < constants.WAITS_SAY:
+        """Logs why steps wait longer than LONG_WAIT_MS: a few of them, at most every LONG_WAITS_LOG_INTERVAL seconds."""
+        if now - self.waits_logged_at < constants.LONG_WAITS_LOG_INTERVAL:
             return
         overdue = [
             key
             for key, tasks in self.record.ready.items()
             if ms - min(max(task.at >> constants.LOGICAL_BITS, task.due) for task in tasks.values())
-            > constants.WAITS_LONG_MS
+            > constants.LONG_WAIT_MS
         ]
         if overdue:
             self.waits_logged_at = now
             self.say(
                 log_events.WAITS_LONG,
                 steps=len(overdue),
-                first=["/".join(key) + " " + self.why_waits(key) for key in overdue[: constants.WAITS_FEW]],
+                first=[
+                    "/".join(key) + " " + self.why_waits(key)
+                    for key in overdue[: constants.STEPS_PER_LOG_LINE]
+                ],
             )
 
     async def watch_workers(self):
         """Runs the periodic checks for as long as the daemon lives."""
         while True:
-            await asyncio.sleep(constants.PEEK_BACK)
+            await asyncio.sleep(constants.ENDED_JOBS_CHECK_PERIOD)
             if self.live():
-                self.look_after(now=self.seam.now(), ms=self.clock_ms())
+                self.look_after(now=self.runtime.now(), ms=self.clock_ms())
 
     @in_section("look_after")
     def look_after(self, *, now, ms):
--- a/hollowhall/desk/fit.py
+++ b/hollowhall/desk/fit.py
@@ -156,9 +156,9 @@
 
     def is_shape_refused(self, *, shape, near):
         """Whether a shape that found no room is not tried again in this round. A step that still waits for
-        its rack tells nothing about steps that waited long enough, so NEAR_LOOKS of them are tried."""
+        its rack tells nothing about steps that waited long enough, so RACK_STEPS_PER_ROUND of them are tried."""
         self.near_looks[shape] = self.near_looks.get(shape, 0) + near
-        return not near or self.near_looks[shape] >= constants.NEAR_LOOKS
+        return not near or self.near_looks[shape] >= constants.RACK_STEPS_PER_ROUND
 
     def scan_workers(self, *, task, step, step_key, lane, shape):
         """The best worker for a task: (worker, "", _) or (None, reason, whether the same holds for every
--- a/hollowhall/desk/gather.py
+++ b/hollowhall/desk/gather.py
@@ -51,8 +51,8 @@
             size >= self.unplaced_gangs.get(key, size + 1)
             and not held
             and (
-                waited <= constants.GANG_STARVE_MS
-                or self.starving_gangs.get(key, 0) >= constants.GANGS_STARVED
+                waited <= constants.GANG_STARVATION_MS
+                or self.starving_gangs.get(key, 0) >= constants.STARVING_GANGS_PER_ROUND
             )
         ):
             self.reasons[step_key] = "room"
@@ -96,7 +96,7 @@
         self.reasons[step_key] = "room"
         if not held:
             self.unplaced_gangs[key] = min(size, self.unplaced_gangs.get(key, size))
-        if waited > constants.GANG_STARVE_MS:
+        if waited > constants.GANG_STARVATION_MS:
             self.starving_gangs[key] = self.starving_gangs.get(key, 0) + (not held)
             if self.policy.reserve_gangs:
                 self.reserve_gang(
@@ -110,7 +110,7 @@
         wait_ms = self.rack_wait_ms(spec=spec, lane=lane)
         if waited <= wait_ms:
             return False
-        usual_ms = self.usual_ms.get(lane) or spec.get("estimateMs") or constants.FAR_MS
+        usual_ms = self.usual_ms.get(lane) or spec.get("estimateMs") or constants.DEFAULT_TASK_MS
         drain_ms = self.kept_until.get(step_key, 0) - self.now
         held = self.policy.drain_estimates and 0 < drain_ms < (self.far_factor - 1) * usual_ms
         return not held or self.is_half_idle(self.rec.kind_of(lane=lane, spec=spec))
@@ -141,13 +141,15 @@
         if not self.policy.rack_patience:
             return 0
         ms = (
-            constants.FAR_PART
+            constants.REMOTE_COST_WAIT_FRACTION
             * (self.far_factor - 1)
-            * (self.usual_ms.get(lane) or spec.get("estimateMs") or constants.FAR_MS)
+            * (self.usual_ms.get(lane) or spec.get("estimateMs") or constants.DEFAULT_TASK_MS)
         )
-        if ms <= constants.FAR_MOST_MS or not self.is_half_idle(self.rec.kind_of(lane=lane, spec=spec)):
+        if ms <= constants.LOCALITY_WAIT_MAX_MS or not self.is_half_idle(
+            self.rec.kind_of(lane=lane, spec=spec)
+        ):
             return ms
-        return constants.FAR_MOST_MS
+        return constants.LOCALITY_WAIT_MAX_MS
 
     def is_half_idle(self, kind):
         """Whether less than half of a kind's room is in use: then no job needs to wait for a rack. In a
--- a/hollowhall/desk/giving_back.py
+++ b/hollowhall/desk/giving_back.py
@@ -2,7 +2,7 @@
 
 Shortly before a window and within it, attempts of others are stopped on the workers that are to serve it:
 those that lose least first, and only as many as the owners have tasks ready for. Attempts without
-checkpoints are stopped last, RESERVED_GRACE_MS into the window: they began before the reservation was
+checkpoints are stopped last, RESERVATION_GRACE_MS into the window: they began before the reservation was
 confirmed, or took longer than estimated. Such a stop is not a failure; the task starts again elsewhere."""
 
 from ..base import constants, log_events
@@ -36,15 +36,15 @@
     def give_back(self, *, placement_round, ms):
         """Stop events for the attempts that keep the owners' ready tasks from starting, after a round."""
         plan, stops = placement_round.plan, []
-        if plan is None or ms - self.stopped_at_ms < constants.PREEMPT_GAP_MS:
+        if plan is None or ms - self.stopped_at_ms < constants.PREEMPTION_CHECK_PERIOD_MS:
             return stops
         started_tasks, served, claimed = {task_id for task_id, _ in placement_round.out}, {}, {}
         for reservation in plan.reservations:
             unclaimed = sum(plan.unclaimed[reservation.id].values())
             if (
                 not unclaimed
-                or reservation.begin - constants.RESERVED_BACK_MS > ms
-                or len(stops) >= constants.PREEMPT_MOST
+                or reservation.begin - constants.RESERVATION_RECLAIM_MS > ms
+                or len(stops) >= constants.PREEMPTIONS_PER_CHECK
             ):
                 continue
             # tasks that reservations earlier in this loop make room for
@@ -64,7 +64,7 @@
                     plan=plan,
                     claimed=claimed,
                     gone={attempt.run for attempt in stops},
-                    most=constants.PREEMPT_MOST - len(stops),
+                    most=constants.PREEMPTIONS_PER_CHECK - len(stops),
                 )
         if stops:
             self.stopped_at_ms = ms
@@ -162,13 +162,14 @@
         for attempt in worker.runs.values():
             spec = self.record.jobs[attempt.job].steps[attempt.step].spec
             young = (
-                ms - (attempt.run >> constants.LOGICAL_BITS) < constants.PREEMPT_YOUNG_MS and not attempt.gang
+                ms - (attempt.run >> constants.LOGICAL_BITS) < constants.PREEMPTION_YOUNG_MS
+                and not attempt.gang
             )
             cheap = gives_back(spec) or young and ms >= reservation.begin
             if (
                 not attempt.stop
                 and attempt.lane not in reservation.lanes
-                and (cheap or ms >= reservation.begin + constants.RESERVED_GRACE_MS)
+                and (cheap or ms >= reservation.begin + constants.RESERVATION_GRACE_MS)
             ):
                 found.append((self.loss(attempt=attempt, ms=ms), attempt.run, attempt))
         return found
--- a/hollowhall/desk/headroom.py
+++ b/hollowhall/desk/headroom.py
@@ -1,7 +1,7 @@
 """Headroom for urgent work.
 
 Less urgent work leaves free as much room of a kind of worker as the more urgent queues recently used at
-their peak beyond what they use now, up to HEADROOM_PART of the kind's room. Bursts of short urgent tasks
+their peak beyond what they use now, up to HEADROOM_FRACTION of the kind's room. Bursts of short urgent tasks
 then find room at once, instead of waiting behind long tasks."""
 
 from collections import deque
@@ -17,12 +17,12 @@
         self.used_lately, self.used_at = {}, 0
 
     def note_use(self, *, ms):
-        """Samples the room in use by queue every USE_LOOK_MS; the last USE_LOOKS samples are kept."""
-        if ms - self.used_at < constants.USE_LOOK_MS:
+        """Samples the room in use by queue every USAGE_SAMPLE_PERIOD_MS; the last USAGE_SAMPLES_KEPT samples are kept."""
+        if ms - self.used_at < constants.USAGE_SAMPLE_PERIOD_MS:
             return
         self.used_at = ms
         for lane, used in self.record.lane_used.items():
-            seen = self.used_lately.setdefault(lane, deque(maxlen=constants.USE_LOOKS))
+            seen = self.used_lately.setdefault(lane, deque(maxlen=constants.USAGE_SAMPLES_KEPT))
             seen.append(tuple(used))
 
     def peaks(self):
@@ -65,7 +65,7 @@
                 continue
             used = self.lane_use.get(other, (0, 0, 0))
             wanted = [wanted[i] + max(0, peak[i] - used[i]) for i in range(3)]
-        return [min(wanted[i], int(constants.HEADROOM_PART * room[i])) for i in range(3)]
+        return [min(wanted[i], int(constants.HEADROOM_FRACTION * room[i])) for i in range(3)]
 
     def leaves_headroom(self, *, kind, lane, rooms):
         """Whether enough headroom for more urgent queues is left after a start that takes `rooms` in
--- a/hollowhall/desk/health.py
+++ b/hollowhall/desk/health.py
@@ -53,7 +53,7 @@
             health.times, health.aside_until_ms = health.times + 1, until
         else:
             health.evidence, health.trial_successes = (
-                (constants.GUILT_SUSPECTED / 2, 0) if state == TRIAL else (health.evidence, 0)
+                (constants.EVIDENCE_SUSPECTED / 2, 0) if state == TRIAL else (health.evidence, 0)
             )
         if state in (SOUND, TRIAL):
             health.blame_by_step, health.generation = {}, health.generation + 1
@@ -62,7 +62,7 @@
     def probation_ms(self, worker_id):
         """For how many ms a worker is set aside now; twice as long with each relapse, up to a bound."""
         return min(
-            constants.PROBATION_MOST_MS, constants.PROBATION_MS << min(self.health_of(worker_id).times, 8)
+            constants.PROBATION_MAX_MS, constants.PROBATION_MS << min(self.health_of(worker_id).times, 8)
         )
 
     # --- evidence
@@ -99,24 +99,28 @@
         if tally[2] != generation:
             tally[:] = [0, 0, generation]
         tally[bad] += 1
-        usual_share = self.queue_failure_share.get(attempt.lane, constants.FAILS_USUAL)
+        usual_share = self.queue_failure_share.get(attempt.lane, constants.DEFAULT_FAILURE_RATE)
         if self.health_of(worker_id).state == SOUND:
-            self.queue_failure_share[attempt.lane] = usual_share + constants.FAILS_NEW * (bad - usual_share)
-        usual_share = min(max(usual_share, constants.FAILS_LEAST), constants.FAILS_MOST)
+            self.queue_failure_share[attempt.lane] = usual_share + constants.FAILURE_RATE_NEWEST_WEIGHT * (
+                bad - usual_share
+            )
+        usual_share = min(max(usual_share, constants.FAILURE_RATE_MIN), constants.FAILURE_RATE_MAX)
         if not bad:
             self.health_of(worker_id).last_success_ms = ms
             self.add_evidence(
-                worker_id=worker_id, change=log((1 - constants.FAILS_SICK) / (1 - usual_share)), ms=ms
+                worker_id=worker_id,
+                change=log((1 - constants.SICK_WORKER_FAILURE_RATE) / (1 - usual_share)),
+                ms=ms,
             )
-        weight = log(constants.FAILS_SICK / usual_share)
-        for blamed_id in list(tallies) if len(tallies) <= constants.BLAMED_MOST else [worker_id]:
+        weight = log(constants.SICK_WORKER_FAILURE_RATE / usual_share)
+        for blamed_id in list(tallies) if len(tallies) <= constants.REEVALUATED_WORKERS_MAX else [worker_id]:
             if (
                 self.blame(worker_id=blamed_id, step_key=step_key, tallies=tallies, weight=weight, ms=ms)
                 and blamed_id != worker_id
             ):
                 self.update_health(worker_id=blamed_id, ms=ms)
         self.update_health(worker_id=worker_id, ms=ms, bad=bad)
-        while len(self.step_tallies) > constants.RESULTS_KEPT:
+        while len(self.step_tallies) > constants.STEP_RESULTS_KEPT:
             del self.step_tallies[next(iter(self.step_tallies))]
 
     def blame(self, *, worker_id, step_key, tallies, weight, ms):
@@ -134,15 +138,15 @@
         if True in failed_on_sound:
             new = 0.0
         elif failed_on_sound:
-            new = weight * constants.BLAME_UNSURE
+            new = weight * constants.AMBIGUOUS_FAILURE_WEIGHT
         else:
             new = weight * (
-                min(failures, constants.BLAME_MOST) if any(tally[0] for _, tally in others) else 1
+                min(failures, constants.FAILURES_PER_STEP_MAX) if any(tally[0] for _, tally in others) else 1
             )
         if new != before:
             health.blame_by_step[step_key] = new
             self.add_evidence(worker_id=worker_id, change=new - before, ms=ms)
-            while len(health.blame_by_step) > constants.BLAMES_KEPT:
+            while len(health.blame_by_step) > constants.WORKER_STEPS_KEPT:
                 del health.blame_by_step[next(iter(health.blame_by_step))]
         return new != before
 
@@ -150,7 +154,7 @@
         """Adds evidence after decaying the earlier evidence to `ms`; there is no decay while set aside."""
         health = self.health_of(worker_id)
         if health.state != ASIDE:
-            health.evidence *= 0.5 ** (max(0, ms - health.updated_ms) / constants.GUILT_HALF_MS)
+            health.evidence *= 0.5 ** (max(0, ms - health.updated_ms) / constants.EVIDENCE_HALF_LIFE_MS)
         health.evidence, health.updated_ms = (max(0.0, health.evidence + change), max(ms, health.updated_ms))
 
     def update_health(self, *, worker_id, ms, bad=None):
@@ -160,20 +164,20 @@
             return
         if health.state == TRIAL:
             health.trial_successes += bad is False
-            if health.trial_successes >= constants.TRIAL_GOOD:
+            if health.trial_successes >= constants.TRIAL_SUCCESSES:
                 self.set_health_state(worker_id=worker_id, state=SOUND, ms=ms)
-            elif bad and health.evidence >= constants.GUILT_SUSPECTED:
+            elif bad and health.evidence >= constants.EVIDENCE_SUSPECTED:
                 self.start_probation(worker=worker, ms=ms)
         elif health.state == ASIDE:
-            if health.evidence < constants.GUILT_SUSPECTED and worker.flaky > ms and self.live():
-                health.evidence = constants.GUILT_SUSPECTED
+            if health.evidence < constants.EVIDENCE_SUSPECTED and worker.flaky > ms and self.live():
+                health.evidence = constants.EVIDENCE_SUSPECTED
                 self.say(log_events.WORKER_CLEARED, worker=worker_id)
                 self.hold_event(event=["flaky", worker_id, 0])
-        elif health.evidence >= constants.GUILT_ASIDE:
+        elif health.evidence >= constants.EVIDENCE_SET_ASIDE:
             self.start_probation(worker=worker, ms=ms)
-        elif health.evidence >= constants.GUILT_SUSPECTED and health.state == SOUND:
+        elif health.evidence >= constants.EVIDENCE_SUSPECTED and health.state == SOUND:
             self.set_health_state(worker_id=worker_id, state=SUSPECTED, ms=ms)
-        elif health.evidence < constants.GUILT_SUSPECTED / 2 and health.state == SUSPECTED:
+        elif health.evidence < constants.EVIDENCE_SUSPECTED / 2 and health.state == SUSPECTED:
             self.set_health_state(worker_id=worker_id, state=SOUND, ms=ms)
 
     def start_probation(self, *, worker, ms):
@@ -182,7 +186,7 @@
             return
         until = ms + self.probation_ms(worker.id)
         ends = self.windows.get(worker.id) or (1,)
-        self.judged[worker.id] = max(constants.FAILS_SICK, sum(ends) / len(ends))
+        self.judged[worker.id] = max(constants.SICK_WORKER_FAILURE_RATE, sum(ends) / len(ends))
         self.say(
             log_events.WORKER_FLAKY,
             worker=worker.id,
@@ -198,8 +202,8 @@
         this sign; twice as long with each relapse, up to a bound."""
         health, relapses = self.health_of(worker_id), self.health_of(worker_id).times
         span_ms = min(
-            constants.PROBATION_MOST_MS,
-            int(constants.ASIDE_S * 1000) << min(relapses - (health.state == ASIDE), 8),
+            constants.PROBATION_MAX_MS,
+            int(constants.SLOW_WORKER_ASIDE_S * 1000) << min(relapses - (health.state == ASIDE), 8),
         )
         if health.state != ASIDE:
             self.set_health_state(worker_id=worker_id, state=ASIDE, ms=ms, until=ms + span_ms)
@@ -207,12 +211,12 @@
         return span_ms
 
     def slowness_over(self, *, worker_id, ms):
-        """Whether a worker was set aside for slowness and showed none for ASIDE_S since."""
+        """Whether a worker was set aside for slowness and showed none for SLOW_WORKER_ASIDE_S since."""
         health = self.health_of(worker_id)
         return (
             health.state == ASIDE
             and health.slow_seen_ms > 0
-            and ms - health.slow_seen_ms >= constants.ASIDE_S * 1000
+            and ms - health.slow_seen_ms >= constants.SLOW_WORKER_ASIDE_S * 1000
         )
 
     def start_trial(self, *, worker_id, ms):
@@ -221,7 +225,7 @@
             self.set_health_state(worker_id=worker_id, state=TRIAL, ms=ms)
 
     def may_put_aside(self, worker):
-        """Whether one more worker of this kind may be set aside; at most ASIDE_PART of a kind is at once."""
+        """Whether one more worker of this kind may be set aside; at most ASIDE_MAX_FRACTION of a kind is at once."""
         same_kind = [
             peer.id for peer in self.record.workers.values() if peer.kind == worker.kind and peer.state == UP
         ]
@@ -229,7 +233,7 @@
             worker_id in self.slow or worker_id in self.health and self.health[worker_id].state == ASIDE
             for worker_id in same_kind
         )
-        return aside_count < len(same_kind) * constants.ASIDE_PART
+        return aside_count < len(same_kind) * constants.ASIDE_MAX_FRACTION
 
     def look_at_health(self, *, ms):
         """Applies what passes with time: decay of evidence and relapses, and the end of times aside."""
@@ -241,14 +245,18 @@
             elif health.state == SUSPECTED:
                 self.add_evidence(worker_id=worker_id, change=0.0, ms=ms)
                 self.update_health(worker_id=worker_id, ms=ms)
-            elif health.state == SOUND and health.times and ms - health.updated_ms > constants.RELAPSE_MS:
+            elif (
+                health.state == SOUND
+                and health.times
+                and ms - health.updated_ms > constants.RELAPSE_FORGOTTEN_MS
+            ):
                 health.times, health.updated_ms = health.times - 1, ms
 
     def doubted(self):
         """The workers that placement treats differently: `doubt`, the suspected and those with a reported
         failure that is not recorded yet; `trials`; `aside`, with when that ends; `proven`, sound
-        ones with a success in the last PROVEN_MS."""
-        by_state, since_ms = {state: {} for state in MOVES}, self.clock_ms() - constants.PROVEN_MS
+        ones with a success in the last RECENT_SUCCESS_MS."""
+        by_state, since_ms = {state: {} for state in MOVES}, self.clock_ms() - constants.RECENT_SUCCESS_MS
         for worker_id, health in self.health.items():
             by_state[health.state][worker_id] = (0.0, health.aside_until_ms)
         failing = {
--- a/hollowhall/desk/leaving.py
+++ b/hollowhall/desk/leaving.py
@@ -27,36 +27,37 @@
                 remaining_ms = self.estimated_remaining_ms(
                     attempt=attempt, session=session, spec=spec, now=now, ms=ms
                 )
-                if remaining_ms < left_ms - constants.LEAVE_SLACK_MS:
+                if remaining_ms < left_ms - constants.DEPARTURE_SLACK_MS:
                     continue
-                if spec.get("saves") and left_ms > constants.LEAVE_LAST_MS:
+                if spec.get("saves") and left_ms > constants.DEPARTURE_STOP_MS:
                     continue  # it may go on for now: its last checkpoint will be handed over
                 for member in self.record.legs_of(job) if spec.get("gang") else [attempt]:
                     if member.step == attempt.step and not member.stop:
                         self.hold_event(event=["stop", member.run, "leave"])
 
     def left_ms_of(self, attempt):
-        """Estimated ms until an attempt ends, at least LEFT_LEAST_MS. One that has run past its estimate and
-        reports no progress is taken to need OVERDUE_PART of its age."""
+        """Estimated ms until an attempt ends, at least REMAINING_TIME_MIN_MS. One that has run past its estimate and
+        reports no progress is taken to need OVERDUE_REMAINING_FRACTION of its age."""
         session = self.sessions.get(attempt.worker) or WorkerSession()
         spec = self.record.jobs[attempt.job].steps[attempt.step].spec
         remaining_ms = self.estimated_remaining_ms(
-            attempt=attempt, session=session, spec=spec, now=self.seam.now(), ms=self.clock_ms()
+            attempt=attempt, session=session, spec=spec, now=self.runtime.now(), ms=self.clock_ms()
         )
         age_ms = self.clock_ms() - (attempt.run >> constants.LOGICAL_BITS)
         return max(
-            constants.LEFT_LEAST_MS, remaining_ms if remaining_ms > 0 else constants.OVERDUE_PART * age_ms
+            constants.REMAINING_TIME_MIN_MS,
+            remaining_ms if remaining_ms > 0 else constants.OVERDUE_REMAINING_FRACTION * age_ms,
         )
 
     def estimated_remaining_ms(self, *, attempt, session, spec, now, ms):
         """Estimated ms until an attempt ends, by its progress, else by its lane's usual time; 0 if late."""
         if spec.get("forever"):
             return float("inf")
-        usual_ms = self.lane_ms.get(attempt.lane) or spec.get("estimateMs") or constants.FAR_MS
+        usual_ms = self.lane_ms.get(attempt.lane) or spec.get("estimateMs") or constants.DEFAULT_TASK_MS
         if attempt.run in session.far:
             percent, _, first_percent, first_at = session.far[attempt.run]
             age_ms = (now - first_at) * 1000
-            if age_ms > constants.PACE_AGE_MS and percent > first_percent:
+            if age_ms > constants.PROGRESS_MIN_AGE_MS and percent > first_percent:
                 return (100 - percent) * age_ms / (percent - first_percent)
             usual_ms *= (100 - percent) / 100
         return max(
--- a/hollowhall/desk/outcomes.py
+++ b/hollowhall/desk/outcomes.py
@@ -43,7 +43,7 @@
 
     def serve(self, *, op, request, callback, caller):
         """Refuses reads while the event loop is late: keep-alives, reports and accepted work go first."""
-        if op in READS and self.lag > constants.LAG_SHUT and self.live():
+        if op in READS and self.loop_lag > constants.READS_REFUSED_LAG and self.live():
             callback(Full(where="desk", after=self.retry_after_s()))
             return
         super().serve(op=op, request=request, callback=callback, caller=caller)
@@ -86,8 +86,8 @@
             callback(NotSynced(tries=0))  # the fleet's format level does not cover this specification yet
             return
         size = len(pack(request["spec"]))
-        if size > constants.TURN_BYTES:
-            callback(TooLarge(limit=constants.TURN_BYTES))
+        if size > constants.BATCH_BYTES_MAX:
+            callback(TooLarge(limit=constants.BATCH_BYTES_MAX))
             return
         weight = weight_of(request["spec"])
         if not self.room_for(weight):
@@ -108,10 +108,10 @@
 
     def room_for(self, weight):
         """Whether the record may grow by `weight` bytes. Ends, cancels and reports are never checked."""
-        limit, record = record_bytes(self.params), self.record
+        limit, record = record_bytes(self.settings), self.record
         return (
             not limit
-            or record.weight + constants.NAME_BYTES * len(record.names) + self.coming + weight <= limit
+            or record.weight + constants.JOB_NAME_BYTES * len(record.names) + self.coming + weight <= limit
         )
 
     def may_access_job(self, *, request, callback):
@@ -237,12 +237,14 @@
     def on_picture(self, *, request, callback, caller):
         """A snapshot of the record, for the planner and for replay; packed in slices between other work."""
         if self.ready_to(callback):
-            self.run_task(co=self.send_snapshot(callback), name="picture")
+            self.run_task(coroutine=self.send_snapshot(callback), name="picture")
 
     async def send_snapshot(self, callback):
         """Answers with a snapshot of the record, its configuration reduced to what may be shown."""
         snapshot = await self.record.picture(
-            spend=self.seam.spend, now=self.seam.now, also=lambda: {"at": self.clock_ms(), "to": self.applied}
+            spend=self.runtime.spend,
+            now=self.runtime.now,
+            also=lambda: {"at": self.clock_ms(), "to": self.applied},
         )
         if snapshot is None:
             callback(self.not_primary())
--- a/hollowhall/desk/pace.py
+++ b/hollowhall/desk/pace.py
@@ -30,7 +30,9 @@
             if attempt is not None:
                 took_ms = max(1.0, (ms - (attempt.run >> constants.LOGICAL_BITS)) / self.stretch(attempt))
                 previous_ms = self.lane_ms.get(attempt.lane, took_ms)
-                self.lane_ms[attempt.lane] = previous_ms + constants.PACE_NEW * (took_ms - previous_ms)
+                self.lane_ms[attempt.lane] = previous_ms + constants.DURATION_NEWEST_WEIGHT * (
+                    took_ms - previous_ms
+                )
 
     def stretch(self, attempt):
         """How many times longer an attempt takes because it runs in another rack than its data, or than
@@ -39,7 +41,7 @@
         near = step.spec.get("near")
         far = bool(near) and self.record.workers[attempt.worker].rack != near
         far = far or bool(step.spec.get("tight")) and len(step.racks) > 1
-        return self.params.far_times if far else 1.0
+        return self.settings.far_times if far else 1.0
 
     def rates(self, *, now, ms):
         """The progress of attempts: {(job, step): [(attempt, percent per ms, percent, stalled)]}, where
@@ -60,14 +62,15 @@
                 ):
                     continue  # an attempt that is being stopped makes no progress either
                 age_ms = (heard_at - first_at) * 1000  # a resumed attempt starts above 0 percent
-                if age_ms < constants.PACE_AGE_MS or percent >= constants.PACE_THROUGH:
+                if age_ms < constants.PROGRESS_MIN_AGE_MS or percent >= constants.PROGRESS_JUDGED_MAX_PERCENT:
                     continue  # a finished member of a gang stands still until the others end
                 rate = max(percent - first_percent, 0.5) / age_ms
-                # stalled if the next percent takes STILL_STEPS times as long as each one so far
+                # stalled if the next percent takes STALLED_PERCENT times as long as each one so far
                 stalled = (
-                    heard_at - changed_at
-                ) * 1000 * rate > constants.STILL_STEPS and heard_at - changed_at > constants.STILL_S
-                stalled = stalled + (stalled and heard_at - changed_at > constants.STILL_SURE)
+                    (heard_at - changed_at) * 1000 * rate > constants.STALLED_PERCENT
+                    and heard_at - changed_at > constants.STALLED_MIN_S
+                )
+                stalled = stalled + (stalled and heard_at - changed_at > constants.STALLED_SURE_S)
                 by_step.setdefault((attempt.job, attempt.step), []).append(
                     (attempt, rate * self.stretch(attempt), percent, stalled)
                 )
@@ -83,7 +86,10 @@
                 if others:
                     ratio, certainty = median(others) / rate, 1.0
                 elif usual_ms and not self.record.jobs[step_key[0]].steps[step_key[1]].spec.get("gang"):
-                    ratio, certainty = 100 / rate / usual_ms / constants.PACE_VAGUE, constants.PACE_UNSURE
+                    ratio, certainty = (
+                        100 / rate / usual_ms / constants.DURATION_SPREAD_FACTOR,
+                        constants.QUEUE_COMPARISON_WEIGHT,
+                    )
                 else:
                     continue
                 by_worker.setdefault(attempt.worker, []).append((ratio, certainty, stalled))
@@ -94,7 +100,11 @@
             ratio = 2.718 ** (sum(log(max(entry[0], 0.05)) * entry[1] for entry in entries) / certainty)
             if (
                 certainty >= 1
-                and (ratio > constants.SLOW_RATIO and len(entries) > 1 or ratio > 2 * constants.SLOW_RATIO)
+                and (
+                    ratio > constants.SLOW_WORKER_RATIO
+                    and len(entries) > 1
+                    or ratio > 2 * constants.SLOW_WORKER_RATIO
+                )
                 or stuck > 1
                 and stuck * 2 > len(entries)
             ):
@@ -112,7 +122,10 @@
             other for other in self.record.workers.values() if other.kind == worker.kind and other.state == UP
         ]
         if worker_id not in self.slow:
-            if sum(other.id in self.slow for other in same_kind) >= len(same_kind) * constants.ASIDE_PART:
+            if (
+                sum(other.id in self.slow for other in same_kind)
+                >= len(same_kind) * constants.ASIDE_MAX_FRACTION
+            ):
                 return
             self.say(log_events.WORKER_SLOW, worker=worker_id, ratio=round(ratio, 1), stuck=stuck)
         aside_s = self.note_pace_of(worker_id=worker_id, ms=self.clock_ms()) / 1000
@@ -132,18 +145,18 @@
                 attempt.worker not in self.slow
                 or attempt.stop
                 or attempt.run in self.rescued
-                or moved >= constants.RESCUE_MOST
-                or ratio < constants.SLOW_RATIO
+                or moved >= constants.RESTARTS_PER_CHECK
+                or ratio < constants.SLOW_WORKER_RATIO
                 and not stalled
             ):
                 continue
             job = self.record.jobs[attempt.job]
             spec = job.steps[attempt.step].spec
-            usual_ms = self.lane_ms.get(attempt.lane) or spec.get("estimateMs") or constants.FAR_MS
+            usual_ms = self.lane_ms.get(attempt.lane) or spec.get("estimateMs") or constants.DEFAULT_TASK_MS
             left_ms = (100 - percent) / (rate / self.stretch(attempt))
             again_ms = (
                 min(usual_ms, 100 / (rate * ratio)) * ((100 - percent) / 100 if spec.get("saves") else 1.0)
-                + constants.RESCUE_COST_MS
+                + constants.RESTART_COST_MS
             )
             if not stalled and left_ms < 1.5 * again_ms:
                 continue
@@ -200,7 +213,7 @@
             if (
                 worker is None
                 or not session.named
-                or now < session.until - self.lease_s() + constants.SILENT_S
+                or now < session.until - self.lease_s() + constants.SILENT_WORKER_S
             ):
                 continue
             self.slow[worker_id] = (9.9, now + 1.0)  # no starts there meanwhile
@@ -211,7 +224,7 @@
                     and not step.spec.get("gang")
                     and not attempt.stop
                     and attempt.run not in self.rescued
-                    and copies < constants.RESCUE_MOST
+                    and copies < constants.RESTARTS_PER_CHECK
                 ):
                     candidates = [
                         other for other in self.record.workers.values() if other.id not in self.slow
--- a/hollowhall/desk/place.py
+++ b/hollowhall/desk/place.py
@@ -70,7 +70,7 @@
         self.kept = {} if kept is None else kept  # worker id: (job, step) it is held back for
         self.kept_until = {} if kept_until is None else kept_until  # (job, step): ms when it will have room
         # estimated ms that an attempt still needs
-        self.left_ms = left_ms or (lambda attempt: constants.FAR_MS)
+        self.left_ms = left_ms or (lambda attempt: constants.DEFAULT_TASK_MS)
         # shape: ms when a task of that shape last started
         self.last_grant_ms = {} if last_grant_ms is None else last_grant_ms
         self.due_tasks, self.refused_shapes, self.last_workers, self.unplaced_gangs = {}, {}, {}, {}
@@ -228,7 +228,7 @@
             self.policy.reserve_starving
             and reason == "room"
             and self.now - max(task.at >> constants.LOGICAL_BITS, self.last_grant_ms.get(shape, 0))
-            > constants.STARVE_MS
+            > constants.STARVATION_MS
         ):
             self.reserve(task=task, step=step, eligible=self.eligible_workers(lane=lane, spec=spec))
         return None, reason
--- a/hollowhall/desk/placing.py
+++ b/hollowhall/desk/placing.py
@@ -21,7 +21,7 @@
 
     def left_ms_of(self, attempt):
         """Estimated ms that an attempt still needs, where its progress is not known."""
-        return self.lane_ms.get(attempt.lane, constants.FAR_MS)
+        return self.lane_ms.get(attempt.lane, constants.DEFAULT_TASK_MS)
 
     def open_place(self):
         """Initializes the state that is kept between rounds."""
@@ -46,7 +46,7 @@
         ]
         for attempt in ending:
             self.record.take_room(attempt=attempt, sign=-1)
-        round_time = RoundTime(seam=self.seam, most=constants.ROUND_S)
+        round_time = RoundTime(runtime=self.runtime, most=constants.PLACEMENT_ROUND_MAX_S)
         placement_round = Round(
             rec=self.record,
             now=self.clock_ms(),
@@ -55,7 +55,7 @@
             kept_until=self.kept_until,
             left_ms=self.left_ms_of,
             last_grant_ms=self.last_grant_ms,
-            far=self.params.far_times,
+            far=self.settings.far_times,
             slow=self.slow,
             usual=self.lane_ms,
             cache=self.cache,
@@ -92,9 +92,9 @@
             self.work.set()  # wakes the batch loop for the rest of the backlog
         else:
             self.examined.clear()
-        if len(self.last_grant_ms) > 2 * constants.FED_KEPT:
+        if len(self.last_grant_ms) > 2 * constants.GRANTED_SHAPES_KEPT:
             self.last_grant_ms = dict(
-                sorted(self.last_grant_ms.items(), key=lambda item: item[1])[-constants.FED_KEPT :]
+                sorted(self.last_grant_ms.items(), key=lambda item: item[1])[-constants.GRANTED_SHAPES_KEPT :]
             )
         return events
 
--- a/hollowhall/desk/preempt.py
+++ b/hollowhall/desk/preempt.py
@@ -20,7 +20,7 @@
         stops, record, rows = [], self.record, self.record.charter["rows"]
         if (
             not self.policy.preemption
-            or ms - self.preempt_at < constants.PREEMPT_GAP_MS
+            or ms - self.preempt_at < constants.PREEMPTION_CHECK_PERIOD_MS
             or len({rows[name]["urgency"] for name in rows}) < 2
         ):
             return stops
@@ -36,7 +36,7 @@
                     step_key=step_key,
                     placement_round=placement_round,
                     ms=ms,
-                    most=constants.PREEMPT_MOST - len(stops),
+                    most=constants.PREEMPTIONS_PER_CHECK - len(stops),
                 )
         chosen |= {attempt.run for attempt in stops}
         for lane in sorted(
@@ -47,8 +47,8 @@
                     step_key = (job, step)
                     examined += 1
                     if (
-                        len(stops) >= constants.PREEMPT_MOST
-                        or examined > constants.PREEMPT_LOOKS
+                        len(stops) >= constants.PREEMPTIONS_PER_CHECK
+                        or examined > constants.PREEMPTION_STEPS_PER_CHECK
                         or placement_round.why_of(step_key) != "room"
                     ):
                         break
@@ -104,11 +104,11 @@
                 min(task.at >> constants.LOGICAL_BITS for task in tasks.values()),
                 min(task.due for task in tasks.values()),
             )
-            < constants.PREEMPT_AFTER_MS
+            < constants.PREEMPTION_WAIT_MS
         ):
             return victims
         missing = sum(task.due <= ms for task in tasks.values()) - self.promised.get(step_key, (0, 0))[0]
-        while missing > 0 and len(victims) < constants.PREEMPT_MOST:
+        while missing > 0 and len(victims) < constants.PREEMPTIONS_PER_CHECK:
             found = self.cheapest_victims(
                 step=step, step_key=step_key, lane=lane, ms=ms, taken=taken, placement_round=placement_round
             )
@@ -117,7 +117,10 @@
             taken |= {attempt.run for attempt in found}
             victims += found
             missing -= 1
-            self.promised[step_key] = (self.promised.get(step_key, (0, 0))[0] + 1, ms + constants.PROMISE_MS)
+            self.promised[step_key] = (
+                self.promised.get(step_key, (0, 0))[0] + 1,
+                ms + constants.PREEMPTION_DEADLINE_MS,
+            )
         return victims
 
     def cheapest_victims(self, *, step, step_key, lane, ms, taken, placement_round):
@@ -158,7 +161,7 @@
         """About how many core milliseconds of work are lost if an attempt is stopped."""
         age = max(0, ms - (attempt.run >> constants.LOGICAL_BITS))
         saves = self.record.jobs[attempt.job].steps[attempt.step].spec.get("saves")
-        return (min(age, constants.CHECKPOINT_MS) if saves else age) * max(1, attempt.room[0])
+        return (min(age, constants.CHECKPOINT_LOSS_MS) if saves else age) * max(1, attempt.room[0])
 
     def may_stop(self, *, attempt, urgency, ms):
         """Whether an attempt may be stopped for work of this urgency."""
@@ -175,5 +178,5 @@
             return False
         return (
             bool(spec.get("saves"))
-            or ms - (attempt.run >> constants.LOGICAL_BITS) < constants.PREEMPT_YOUNG_MS
+            or ms - (attempt.run >> constants.LOGICAL_BITS) < constants.PREEMPTION_YOUNG_MS
         )
--- a/hollowhall/desk/primary.py
+++ b/hollowhall/desk/primary.py
@@ -10,27 +10,33 @@
     """Probes the primary and tells its address."""
 
     async def listen_primary(self):
-        """Probes the primary every PRIMARY_LOOK seconds while this scheduler is a standby."""
+        """Probes the primary every PRIMARY_CHECK_PERIOD seconds while this scheduler is a standby."""
         while True:
-            await asyncio.sleep(constants.PRIMARY_LOOK)
+            await asyncio.sleep(constants.PRIMARY_CHECK_PERIOD)
             addr = self.primary
-            if addr and addr != self.params.addr and not self.live():
-                result = await self.link(addr=addr).call(op="where", request={}, wait=constants.PRIMARY_DEAF)
+            if addr and addr != self.settings.addr and not self.live():
+                result = await self.link(addr=addr).call(
+                    op="where", request={}, wait=constants.PRIMARY_SILENT_MAX
+                )
                 if result.ok:
-                    self.heard_primary = (addr, self.seam.now())
+                    self.heard_primary = (addr, self.runtime.now())
 
     heard_primary = ("", 0.0)
 
     def known_primary(self):
-        """The primary's address if it answered within PRIMARY_DEAF seconds; else ''."""
+        """The primary's address if it answered within PRIMARY_SILENT_MAX seconds; else ''."""
         addr, heard_at = self.heard_primary
         if self.live():
-            return self.params.addr
-        return addr if addr == self.primary and self.seam.now() - heard_at < constants.PRIMARY_DEAF else ""
+            return self.settings.addr
+        return (
+            addr
+            if addr == self.primary and self.runtime.now() - heard_at < constants.PRIMARY_SILENT_MAX
+            else ""
+        )
 
     async def find_primary(self):
-        """Waits up to PRIMARY_WAIT seconds for a live primary; returns its address or ''."""
-        deadline = self.seam.now() + constants.PRIMARY_WAIT
-        while not self.known_primary() and self.seam.now() < deadline and not self.leaving:
-            await asyncio.sleep(constants.ATTEMPT_GAP)
+        """Waits up to FIND_PRIMARY_TIMEOUT seconds for a live primary; returns its address or ''."""
+        deadline = self.runtime.now() + constants.FIND_PRIMARY_TIMEOUT
+        while not self.known_primary() and self.runtime.now() < deadline and not self.leaving:
+            await asyncio.sleep(constants.REQUEST_ATTEMPT_PAUSE)
         return self.known_primary()
--- a/hollowhall/desk/probation.py
+++ b/hollowhall/desk/probation.py
@@ -80,14 +80,14 @@
         return ms < worker.flaky or worker.id in self.slow and self.slowness_over(worker_id=worker.id, ms=ms)
 
     def waiting_long(self, *, ms):
-        """Yields (kind, spec) of steps with a task that has waited for FLAKY_WAIT_MS, one of each shape."""
+        """Yields (kind, spec) of steps with a task that has waited for PROBATION_WAIT_MAX_MS, one of each shape."""
         seen = set()
         for (job_name, step_name), tasks in self.record.ready.items():
             job = self.record.jobs[job_name]
             spec = job.steps[step_name].spec
             kind, shape = self.record.kind_of(lane=job.lane, spec=spec), shape_of(spec)
             since = min(max(task.at >> constants.LOGICAL_BITS, task.due) for task in tasks.values())
-            if (kind, shape) not in seen and ms - since >= constants.FLAKY_WAIT_MS:
+            if (kind, shape) not in seen and ms - since >= constants.PROBATION_WAIT_MAX_MS:
                 seen.add((kind, shape))
                 yield kind, spec
 
--- a/hollowhall/desk/record_tail.py
+++ b/hollowhall/desk/record_tail.py
@@ -20,12 +20,14 @@
                 if index > self.applied:
                     entry, checksum_index = (
                         unpack(packed),
-                        (index - 1) // constants.MARK_EVERY * constants.MARK_EVERY,
+                        (index - 1)
+                        // constants.CHECKSUM_INTERVAL_ENTRIES
+                        * constants.CHECKSUM_INTERVAL_ENTRIES,
                     )
                     if checksum_index >= self.loaded and checksum_index not in self.checksums:
                         self.checksums = dict(
                             [*self.checksums.items(), (checksum_index, self.record.sum)][
-                                -constants.MARKS_KEPT :
+                                -constants.CHECKSUMS_KEPT :
                             ]
                         )
                     if entry[0] == "turn":
@@ -50,7 +52,7 @@
         """Replaces the record by a snapshot at `index`, if that is newer."""
         if index > self.applied:
             self.record.load(snapshot)
-            self.seam.spend(s=self.record.tasks_n() * constants.LOAD_TASK)
+            self.runtime.spend(s=self.record.tasks_n() * constants.LOAD_TASK_CPU_TIME)
             self.applied = self.loaded = index
             self.checksums = {}
 
@@ -66,24 +68,26 @@
     async def tail(self):
         """Long-polls the store for entries, for as long as the daemon lives."""
         while True:
-            result = await self.near(
+            result = await self.ask_any_member(
                 op="tail",
                 request=self.tail_request(),
                 at=self.snapshot_chunks[0][0] if self.snapshot_chunks else "",
-                wait=constants.WATCH_WAIT + 1,
+                wait=constants.LONG_POLL_TIMEOUT + 1,
             )
             if result.ok:
                 self.take(result.value)
             else:
-                await asyncio.sleep(constants.REDIAL / 2)
+                await asyncio.sleep(constants.RECONNECT_DELAY / 2)
 
     async def tail_to(self, index, *, wait):
         """Polls the store until our record holds entry `index`. False if `wait` seconds did not suffice."""
-        deadline = self.seam.now() + wait
-        while self.applied < index and self.seam.now() < deadline:
-            result = await self.near(op="tail", wait=0.5, request=self.tail_request() | {"wait": 0.0})
+        deadline = self.runtime.now() + wait
+        while self.applied < index and self.runtime.now() < deadline:
+            result = await self.ask_any_member(
+                op="tail", wait=0.5, request=self.tail_request() | {"wait": 0.0}
+            )
             if result.ok:
                 self.take(result.value)
             if self.applied < index:
-                await asyncio.sleep(constants.TURN_GAP)
+                await asyncio.sleep(constants.BATCH_INTERVAL_MIN)
         return self.applied >= index
--- a/hollowhall/desk/reports.py
+++ b/hollowhall/desk/reports.py
@@ -19,7 +19,7 @@
         runs = {}
         if worker is not None and worker.boot == request["boot"]:
             runs = {(attempt.task, attempt.no): run for run, attempt in worker.runs.items()}
-        now, progress = self.seam.now(), {}
+        now, progress = self.runtime.now(), {}
         session.running, session.unknown_attempts, saved = set(), [], {}
         for task, no, checkpoint, percent in request["named"]:
             run = runs.get((task, no))
@@ -80,9 +80,9 @@
     def never_began(self, *, session, worker):
         """The runs on a worker that are to be stopped, were not begun, and can no longer begin. A worker has
         one beat in flight at a time, so a beat after the last one whose answer held the start was
-        sent after that answer arrived or was given up; without the attempt in it, and START_VALID_MS
+        sent after that answer arrived or was given up; without the attempt in it, and START_ORDER_VALID_MS
         later, the start has lapsed. Times are of the last beat: a silent worker proves nothing."""
-        oldest_s = constants.START_VALID_MS / 1000 + constants.NEWS_AGAIN
+        oldest_s = constants.START_ORDER_VALID_MS / 1000 + constants.ORDER_RESEND_DELAY
         if session.heard - session.since < oldest_s:
             return []  # nor does a beat that was delayed while the primary changed
         told = {run: session.starts_sent.get(run, (-1, -9.0)) for run in worker.runs}
@@ -98,7 +98,7 @@
 
     def named_answer(self, *, worker, session, starts, stops):
         """The answer to a worker that names attempts; notes the starts that it holds."""
-        attempts, now = self.record.legs, self.seam.now()
+        attempts, now = self.record.legs, self.runtime.now()
         for run in starts:
             session.starts_sent[run] = (session.seq, now)
         for run in [run for run in session.starts_sent if run not in attempts]:
@@ -109,12 +109,12 @@
             "known": known,
             "epoch": self.epoch,
             "seen": self.seen(session),
-            "againMs": constants.AGAIN_FULL_MS if full else constants.AGAIN_MS,
+            "againMs": constants.NEXT_HEARTBEAT_FULL_MS if full else constants.NEXT_HEARTBEAT_MS,
             "starts": [self.named_card(attempts[run]) for run in starts],
             "stops": [[attempts[run].task, attempts[run].no] for run in stops if run in attempts]
             + [list(name) for name in session.unknown_attempts],
         }
-        return answer | ({"holdMs": self.params.hold_ms} if known else {})
+        return answer | ({"holdMs": self.settings.hold_ms} if known else {})
 
     def named_card(self, attempt):
         """A start as [task, number, work, checkpoint]."""
--- a/hollowhall/desk/reservation_requests.py
+++ b/hollowhall/desk/reservation_requests.py
@@ -53,7 +53,7 @@
                 else OtherBody(name=name)
             )
             return
-        if self.reserves_pending >= constants.RESERVE_HELD:  # checking a reservation takes long
+        if self.reserves_pending >= constants.PENDING_RESERVATIONS_MAX:  # checking a reservation takes long
             callback(Full(where="desk", after=constants.RETRY_AFTER))
             return
         self.reserves_pending += 1
@@ -66,7 +66,7 @@
             then(result, stamp)
 
         self.hold_event(
-            event=["reserve", name, request["spec"], request["digest"], self.params.reserved_percent],
+            event=["reserve", name, request["spec"], request["digest"], self.settings.reserved_percent],
             size=len(pack(request["spec"])) + 256,
             callback=back,
         )
--- a/hollowhall/desk/reserved_plan.py
+++ b/hollowhall/desk/reserved_plan.py
@@ -52,7 +52,7 @@
         self.next_retry_ms, self.seen_counts = 0, None
 
     def refresh(self, *, ms, slow=()):
-        """Updates the plan if the reservations or the fleet changed, and every RESERVED_PLAN_MS."""
+        """Updates the plan if the reservations or the fleet changed, and every RESERVATION_PLAN_PERIOD_MS."""
         rec = self.rec
         state = (rec.reserved_n, rec.fleet, *rec.evacuated)
         if state != self.seen_state or ms >= self.next_check_ms:
@@ -61,7 +61,7 @@
                 self.remap(ms=ms, slow=slow)
             self.seen_state, self.next_check_ms, self.seen_counts = (
                 state,
-                ms + constants.RESERVED_PLAN_MS,
+                ms + constants.RESERVATION_PLAN_PERIOD_MS,
                 None,
             )
             self.open_lanes = {
@@ -81,14 +81,15 @@
 
     def needs_remap(self, *, ms):
         """Whether a reservation is over, is near its window, or is mapped to a worker that is not healthy;
-        while rooms are missing, also every RESERVED_SHORT_MS."""
+        while rooms are missing, also every RESERVATION_REASSIGN_MS."""
         worker_ids = {worker_id for counts in self.assigned.values() for worker_id in counts}
         return (
             len(self.assigned) != len(self.reservations)
             or bool(self.missing)
             and ms >= self.next_retry_ms
             or any(
-                reservation.id not in self.remapped and ms >= reservation.begin - constants.RESERVED_NEAR_MS
+                reservation.id not in self.remapped
+                and ms >= reservation.begin - constants.RESERVATION_FINAL_CHOICE_MS
                 for reservation in self.reservations
             )
             or any(not self.is_usable(self.rec.workers.get(worker_id), ms=ms) for worker_id in worker_ids)
@@ -154,12 +155,15 @@
             for reservation in self.reservations
             if (missing := reservation.count - self.total(assigned[reservation.id]))
         }
-        self.next_retry_ms = ms + constants.RESERVED_SHORT_MS
+        self.next_retry_ms = ms + constants.RESERVATION_REASSIGN_MS
 
     def previous_mapping(self, *, reservation, workers, ms):
         """Where a reservation was mapped. Once, when its window is near, nothing: by then other workers may
         be freer."""
-        if reservation.id not in self.remapped and ms >= reservation.begin - constants.RESERVED_NEAR_MS:
+        if (
+            reservation.id not in self.remapped
+            and ms >= reservation.begin - constants.RESERVATION_FINAL_CHOICE_MS
+        ):
             self.remapped.add(reservation.id)
             return {}
         return self.assigned.get(reservation.id, {})
@@ -260,7 +264,7 @@
                     continue
                 for _, job, step in line:
                     count += sum(
-                        task.due <= ms + constants.RESERVED_BACK_MS and task.id not in placed
+                        task.due <= ms + constants.RESERVATION_RECLAIM_MS and task.id not in placed
                         for task in rec.ready[job, step].values()
                     )
                     if count >= limit:
@@ -297,12 +301,12 @@
         if spec.get("forever") or standing:
             return None
         if spec["runMs"]:
-            return spec["runMs"] + constants.RESERVED_SLACK_MS
+            return spec["runMs"] + constants.LENT_SLACK_MS
         estimate = max(spec.get("estimateMs") or 0, usual.get(lane) or 0)
         return (
-            estimate * constants.RESERVED_TIMES + constants.RESERVED_SLACK_MS
+            estimate * constants.LENT_DURATION_FACTOR + constants.LENT_SLACK_MS
             if estimate
-            else constants.RESERVED_UNKNOWN_MS
+            else constants.UNKNOWN_DURATION_MS
         )
 
     def room_kept_from(self, *, worker, spec, lane, ms, ends, wanted):
@@ -320,7 +324,7 @@
             ):
                 continue
             if gives_back(spec) and (
-                ms < reservation.begin - constants.RESERVED_BACK_MS or not wanted(reservation)
+                ms < reservation.begin - constants.RESERVATION_RECLAIM_MS or not wanted(reservation)
             ):
                 continue
             taken.append(
--- a/hollowhall/desk/round_time.py
+++ b/hollowhall/desk/round_time.py
@@ -8,17 +8,17 @@
     """The time of one round, in seconds, at most `most`. `spend` tells the simulation what the work costs; on
     a real machine, time passes by itself."""
 
-    def __init__(self, *, seam, most):
-        self.seam, self.most = seam, most
-        self.start, self.reported = seam.now(), 0.0
+    def __init__(self, *, runtime, most):
+        self.runtime, self.most = runtime, most
+        self.start, self.reported = runtime.now(), 0.0
 
     def spend(self, *, s):
         """Reports work that takes `s` seconds of a processor."""
-        self.reported += self.seam.spend(s=s)
+        self.reported += self.runtime.spend(s=s)
 
     def took(self):
         """How many seconds the round has taken so far."""
-        return self.seam.now() - self.start + self.reported
+        return self.runtime.now() - self.start + self.reported
 
     def over(self):
         """Whether the round has used up its time."""
--- a/hollowhall/desk/tenant_turns.py
+++ b/hollowhall/desk/tenant_turns.py
@@ -6,8 +6,8 @@
 
 A turn must not keep a tenant's work waiting for nothing. Only a step that would fit beside the tenant's
 tasks without an end gets it. If the tenant runs under half of its limit and the step still does not fit,
-since the running tasks take long, its turn ends after TURN_MOST_MS, and it gets no other one for
-TURN_REST_MS."""
+since the running tasks take long, its turn ends after TENANT_PRECEDENCE_MAX_MS, and it gets no other one for
+TENANT_PRECEDENCE_PAUSE_MS."""
 
 from dataclasses import dataclass, field
 
@@ -47,10 +47,10 @@
                 del turns.first[tenant]
 
     def had_turn(self, turn):
-        """Whether a turn has expired without a start; its step then gets no turn for TURN_REST_MS."""
+        """Whether a turn has expired without a start; its step then gets no turn for TENANT_PRECEDENCE_PAUSE_MS."""
         if turn.until is None or self.now < turn.until:
             return False
-        self.turns.rests[turn.step] = self.now + constants.TURN_REST_MS
+        self.turns.rests[turn.step] = self.now + constants.TENANT_PRECEDENCE_PAUSE_MS
         return True
 
     def update_end(self, turn):
@@ -60,7 +60,7 @@
         if any(limit and 2 * use >= limit for limit, use in zip(limits, used)):
             turn.until = None
         elif turn.until is None:
-            turn.until = self.now + constants.TURN_MOST_MS
+            turn.until = self.now + constants.TENANT_PRECEDENCE_MAX_MS
 
     def may_have_turn(self, step_key):
         """Whether a step would fit within its tenant's limit beside the tenant's tasks without an end."""
@@ -73,11 +73,15 @@
         return all(not m or u + count * r <= m for m, u, r in zip(room_limits(row), lasting, room))
 
     def note_limited(self, *, job, step):
-        """Gives the turn to a step that its tenant's limit keeps waiting, once it has waited GANG_STARVE_MS
+        """Gives the turn to a step that its tenant's limit keeps waiting, once it has waited GANG_STARVATION_MS
         and none of its tasks runs; of several, to the one that has waited longest."""
         step_key = (job.name, step)
         since = self.waits_since(step_key)
-        if job.steps[step].on or self.now - since < constants.GANG_STARVE_MS or step_key in self.turns.rests:
+        if (
+            job.steps[step].on
+            or self.now - since < constants.GANG_STARVATION_MS
+            or step_key in self.turns.rests
+        ):
             return
         first = self.turns.first.get(job.tenant)
         waits = first is not None and first.step in self.rec.ready
--- a/hollowhall/desk/trace.py
+++ b/hollowhall/desk/trace.py
@@ -1,7 +1,7 @@
 """Trace of scheduling decisions: for each open job when it was accepted, how long its steps waited
 and why, how its attempts ended and how much work was wasted. A job that missed its target time or
 wasted work is logged with one line; every job counts in a periodic line for its queue.
-`hollowhall explain` reads both. Memory is bounded by TRACES_MOST open jobs; only the primary traces."""
+`hollowhall explain` reads both. Memory is bounded by TRACED_JOBS_MAX open jobs; only the primary traces."""
 
 from dataclasses import dataclass, field
 
@@ -57,10 +57,10 @@
 
     def trace_of(self, name, *, ms):
         """The trace of an open job; one accepted by an earlier primary counts from its stamp. None where the
-        job is not open or TRACES_MOST are kept already."""
+        job is not open or TRACED_JOBS_MAX are kept already."""
         if name not in self.traces:
             job = self.record.jobs.get(name)
-            if job is None or job.ended or len(self.traces) >= constants.TRACES_MOST:
+            if job is None or job.ended or len(self.traces) >= constants.TRACED_JOBS_MAX:
                 return None
             self.traces[name] = JobTrace(
                 queue=job.lane, accepted_ms=job.stamp >> constants.LOGICAL_BITS, aim_ms=self.aims.of(job)[0]
@@ -106,19 +106,19 @@
         add_up(trace.thrown_away, more={why: self.loss(attempt=attempt, ms=ms)})
 
     def trace_waits(self, *, ms):
-        """Samples every TRACE_LOOK_MS why ready steps wait, and writes the log lines that are due."""
+        """Samples every TRACE_CHECK_PERIOD_MS why ready steps wait, and writes the log lines that are due."""
         since = ms - self.traced_ms
-        if since < constants.TRACE_LOOK_MS:
+        if since < constants.TRACE_CHECK_PERIOD_MS:
             return
         self.traced_ms = ms
-        if since > constants.TRACE_GAP_MS:  # the first look, or after a pause
+        if since > constants.TRACE_GAP_MAX_MS:  # the first look, or after a pause
             return
-        for key in list(self.record.ready)[: constants.TRACE_STEPS]:
+        for key in list(self.record.ready)[: constants.TRACE_STEPS_PER_CHECK]:
             trace = self.trace_of(key[0], ms=ms)
             if trace is not None:
                 add_up(trace.waits, more={self.why_waits(key): since})
         self.tell_ended(ms=ms)
-        if ms - self.told_ms > constants.TRACE_TELL_MS:
+        if ms - self.told_ms > constants.QUEUE_TRACE_INTERVAL_MS:
             self.told_ms = ms
             self.tell_queues()
             self.tell_concluded()
@@ -161,7 +161,7 @@
             starts=trace.starts,
             waits=listed(trace.waits),
             stops=listed(trace.stops),
-            thrown_away=listed(trace.thrown_away, per=constants.CORE_MS),
+            thrown_away=listed(trace.thrown_away, per=constants.MILLICORE_MS_PER_CORE_S),
         )
 
     def steps_in_brief(self, job):
@@ -177,7 +177,7 @@
         )
         return ",".join(
             f"{spec['tasks']}x{spec['room'][0]}{''.join(letter for flag, letter in flags if spec.get(flag))}"
-            for spec in job.spec["steps"][: constants.WAITS_FEW]
+            for spec in job.spec["steps"][: constants.STEPS_PER_LOG_LINE]
         )
 
     def tell_concluded(self):
@@ -197,6 +197,6 @@
                 failed=counts.failed,
                 mean_ms=round(counts.took_ms / counts.ended),
                 waits=listed(counts.waits),
-                thrown_away=listed(counts.thrown_away, per=constants.CORE_MS),
+                thrown_away=listed(counts.thrown_away, per=constants.MILLICORE_MS_PER_CORE_S),
             )
         self.queue_traces = {}
--- a/hollowhall/desk/turns.py
+++ b/hollowhall/desk/turns.py
@@ -18,7 +18,7 @@
     def open_turns(self):
         self.holding, self.work, self.committing = deque(), asyncio.Event(), False
         self.queued_jobs, self.queued_job_count = {}, 0  # urgency: queued new jobs, oldest first
-        self.job_rate, self.last_batch_at = constants.SEND_RATE, 0.0
+        self.job_rate, self.last_batch_at = constants.INITIAL_SUBMISSION_RATE, 0.0
         self.now_ms = (0, 0.0)  # last stamped time (ms), and our clock (s) when it was received
         self.turn_n = self.event_n = 0
         self.due_at = None  # ms of stamped time; when the next task comes due, as placement found
@@ -26,11 +26,11 @@
     def hold_event(self, *, event, callback=None, size=64):
         """Queues an event for the next batch. `callback(result, stamp)` is called once it is applied, or with
         a failure and None. New jobs wait by urgency and are refused when they would wait too long;
-        the events of REFUSABLE are refused only at twice HOLDING_MAX, ends of attempts never."""
+        the events of REFUSABLE are refused only at twice QUEUED_EVENTS_MAX, ends of attempts never."""
         if event[0] == "job":
             self.queue_job(event=event, callback=callback, size=size)
             return
-        if event[0] in constants.REFUSABLE and len(self.holding) >= 2 * constants.HOLDING_MAX:
+        if event[0] in constants.REFUSABLE_EVENTS and len(self.holding) >= 2 * constants.QUEUED_EVENTS_MAX:
             callback(Full(where="desk", after=self.retry_after_s()), None)
             return
         self.holding.append((event, callback, size, 0.0))
@@ -43,12 +43,12 @@
         urgency = self.record.charter["rows"].get(queue, {}).get("urgency", 0)
         ahead = sum(len(jobs) for other_urgency, jobs in self.queued_jobs.items() if other_urgency >= urgency)
         if (
-            self.lag + ahead / self.job_rate > constants.SEND_WAIT * (0.5 + 0.05 * urgency)
-            or self.queued_job_count >= constants.HOLDING_MAX
+            self.loop_lag + ahead / self.job_rate > constants.SUBMISSION_WAIT_MAX * (0.5 + 0.05 * urgency)
+            or self.queued_job_count >= constants.QUEUED_EVENTS_MAX
         ):
             callback(Full(where="desk", after=self.retry_after_s()), None)
             return
-        self.queued_jobs.setdefault(urgency, deque()).append((event, callback, size, self.seam.now()))
+        self.queued_jobs.setdefault(urgency, deque()).append((event, callback, size, self.runtime.now()))
         self.queued_job_count += 1
         self.work.set()
 
@@ -56,13 +56,16 @@
         """Seconds until a refused caller should retry: by then the queued events should have been taken."""
         return max(
             constants.RETRY_AFTER,
-            min(constants.AFTER_MAX, round(2 * self.queued_job_count / self.job_rate + 4 * self.lag)),
+            min(
+                constants.RETRY_AFTER_MAX,
+                round(2 * self.queued_job_count / self.job_rate + 4 * self.loop_lag),
+            ),
         )
 
     def refuse_stale_jobs(self):
-        """Refuses jobs that were queued for longer than SEND_STALE, so that their callers learn for sure and
+        """Refuses jobs that were queued for longer than SUBMISSION_EXPIRY, so that their callers learn for sure and
         at once that they will not run."""
-        oldest_allowed = self.seam.now() - constants.SEND_STALE
+        oldest_allowed = self.runtime.now() - constants.SUBMISSION_EXPIRY
         for jobs in self.queued_jobs.values():
             while jobs and jobs[0][3] < oldest_allowed:
                 self.queued_job_count -= 1
@@ -70,12 +73,12 @@
 
     def next_items(self):
         """Takes (event, callback) pairs for one batch, bounded by count and bytes: ends, leaves and
-        cancels first, then jobs of the most urgent lanes. At least SENDS_LEAST places are left to jobs."""
-        items, bytes_left, now = [], constants.TURN_BYTES, self.seam.now()
-        job_share = min(constants.SENDS_LEAST, self.queued_job_count)
+        cancels first, then jobs of the most urgent lanes. At least SUBMISSIONS_PER_BATCH_MIN places are left to jobs."""
+        items, bytes_left, now = [], constants.BATCH_BYTES_MAX, self.runtime.now()
+        job_share = min(constants.SUBMISSIONS_PER_BATCH_MIN, self.queued_job_count)
         while (
             self.holding
-            and len(items) < constants.TURN_EVENTS - job_share
+            and len(items) < constants.BATCH_EVENTS_MAX - job_share
             and (not items or self.holding[0][2] <= bytes_left)
         ):
             event, callback, size, _ = self.holding.popleft()
@@ -84,29 +87,36 @@
         job_count = len(items)
         for urgency in sorted(self.queued_jobs, reverse=True):
             jobs = self.queued_jobs[urgency]
-            while jobs and len(items) < constants.TURN_EVENTS and (not items or jobs[0][2] <= bytes_left):
+            while (
+                jobs and len(items) < constants.BATCH_EVENTS_MAX and (not items or jobs[0][2] <= bytes_left)
+            ):
                 event, callback, size, _ = jobs.popleft()
                 items.append((event, callback))
                 bytes_left -= size
         job_count = len(items) - job_count
         # where jobs remain queued, this batch shows the rate at which they are taken
         if job_count and self.queued_job_count > job_count:
-            rate = job_count / max(constants.TURN_GAP, now - self.last_batch_at)
+            rate = job_count / max(constants.BATCH_INTERVAL_MIN, now - self.last_batch_at)
             self.job_rate += 0.2 * (rate - self.job_rate)
         self.queued_job_count, self.last_batch_at = self.queued_job_count - job_count, now
         return items
 
     def clock_ms(self):
         """Estimate of the stamped time in ms; not to be used where a stamp is required."""
-        return self.now_ms[0] + int((self.seam.now() - self.now_ms[1]) * 1000)
+        return self.now_ms[0] + int((self.runtime.now() - self.now_ms[1]) * 1000)
 
     async def stamp(self, count):
         """Requests `count` stamps from the clock and updates the estimate of `clock_ms`."""
         result = await self.store(
-            op="stamp", request={"n": count}, of="clock", safe=True, total=2.0, wait=constants.STAMP_WAIT
+            op="stamp",
+            request={"n": count},
+            of="clock",
+            safe=True,
+            total=2.0,
+            wait=constants.TIMESTAMP_ATTEMPT_TIMEOUT,
         )
         if result.ok:
-            self.now_ms = (result.value["first"] >> constants.LOGICAL_BITS, self.seam.now())
+            self.now_ms = (result.value["first"] >> constants.LOGICAL_BITS, self.runtime.now())
         return result
 
     async def commit(self, *, events):
@@ -124,19 +134,19 @@
             self.last_problem = result
             return None
         if result.value["gap"]:
-            if not await self.tail_to(result.value["to"], wait=constants.CALL_WAIT):
+            if not await self.tail_to(result.value["to"], wait=constants.REQUEST_TIMEOUT):
                 self.last_problem = Unsure(why="tail")
                 return None
         else:
             self.take(result.value)
             if self.applied < result.value["to"] and not await self.tail_to(
-                result.value["to"], wait=constants.CALL_WAIT
+                result.value["to"], wait=constants.REQUEST_TIMEOUT
             ):
                 self.last_problem = Unsure(why="tail")
                 return None
             if self.applied == result.value["to"] and result.value.get("sum", 0) != self.record.sum:
                 self.last_problem, self.until = Unsure(why="diverged"), 0.0
-                self.run_task(co=self.find_diverged_member(), name="odd")
+                self.run_task(coroutine=self.find_diverged_member(), name="odd")
                 return None
         self.turn_n, self.event_n = self.turn_n + 1, self.event_n + len(events)
         return (
@@ -156,9 +166,9 @@
         Ends this daemon if two members agree with each other and not with us. A diverged leader
         ends itself."""
         for _ in range(40):
-            await asyncio.sleep(constants.PEEK_BACK)
+            await asyncio.sleep(constants.ENDED_JOBS_CHECK_PERIOD)
             by_index = {}
-            for addr in self.alms:
+            for addr in self.store_addresses:
                 result = await self.link(addr=addr).call(op="marks", request={})
                 for index, checksum in (result.value if result.ok else {}).items():
                     by_index.setdefault(index, []).append(checksum)
@@ -178,7 +188,7 @@
             self.committing = True
             events = [event for event, _ in items]
             events += self.place_all(
-                most=constants.TURN_EVENTS, ends=[event[1] for event in events if event[0] == "end"]
+                most=constants.BATCH_EVENTS_MAX, ends=[event[1] for event in events if event[0] == "end"]
             )
             self.trace_waits(ms=self.clock_ms())
             if events:
@@ -186,7 +196,9 @@
                     self.committing = False
                     break
             self.committing = False
-            await asyncio.sleep(max(constants.TURN_GAP, constants.ROUND_REST * self.last_round_s))
+            await asyncio.sleep(
+                max(constants.BATCH_INTERVAL_MIN, constants.PLACEMENT_PAUSE_FACTOR * self.last_round_s)
+            )
         await self.wait_for_batch()
 
     async def one_turn(self, *, items, events):
@@ -248,11 +260,11 @@
             self.work.set()
 
     async def wait_for_batch(self):
-        """Waits for the batch in flight to end, at most 100 times TURN_GAP."""
+        """Waits for the batch in flight to end, at most 100 times BATCH_INTERVAL_MIN."""
         for _ in range(100):
             if not self.committing:
                 return
-            await asyncio.sleep(constants.TURN_GAP)
+            await asyncio.sleep(constants.BATCH_INTERVAL_MIN)
 
     def drop_primary(self):
         """Refuses all queued events when this scheduler is no longer primary; none of them was proposed."""
--- a/hollowhall/explore/breadth.py
+++ b/hollowhall/explore/breadth.py
@@ -11,7 +11,7 @@
     """The events that the search tries next. `count_used(name)` counts a name on the path."""
     events = [("deliver", n) for n in cluster.network.messages]
     for replica in cluster.running():
-        address = replica.params.addr
+        address = replica.settings.addr
         if replica.rank == LEADER:
             for peer in replica.peers:
                 task = cluster.append_tasks.get((address, peer))
--- a/hollowhall/explore/cluster.py
+++ b/hollowhall/explore/cluster.py
@@ -8,7 +8,7 @@
 from ..almanac.ring import Ring
 from ..almanac.vote import LEADER
 from ..base.circuit import pack
-from ..base.params import Params
+from ..base.params import DaemonSettings
 from ..base.problems import Raised
 from .events import EventsMixin
 from .network import Network
@@ -84,7 +84,7 @@
     def start(self, address):
         self.incarnations[address] += 1
         seed = f"{self.seed} {address} {self.incarnations[address]}"
-        params = Params(
+        params = DaemonSettings(
             id=f"r{self.addresses.index(address)}",
             addr=address,
             role="almanac",
@@ -97,7 +97,7 @@
         )
         seam = ModelRuntime(loop=self.loop, disk=self.disks[address], seed=seed)
         replica = self.replica_class(
-            params=params, seam=seam, network=self.network, incarnation=self.incarnations[address]
+            settings=params, runtime=seam, network=self.network, incarnation=self.incarnations[address]
         )
         self.durable.pop(address, None)
         self.replicas[address] = replica
--- a/hollowhall/explore/command.py
+++ b/hollowhall/explore/command.py
@@ -147,7 +147,7 @@
             self.line(" ".join(map(str, event)))
         for replica in cluster.running():
             self.line(
-                f"{replica.params.addr} {replica.rank} term {replica.term} commit {replica.commit} "
+                f"{replica.settings.addr} {replica.rank} term {replica.term} commit {replica.commit} "
                 f"last {replica.last()} list {replica.conf['v']}"
             )
         cluster.close()
--- a/hollowhall/explore/events.py
+++ b/hollowhall/explore/events.py
@@ -7,8 +7,10 @@
 from .network import NO_REPLY, result_of
 from .orders import Operation, Order
 
-ELECTION_WAIT_S = constants.ELECT_MAX + 0.05  # time without a leader after which a follower campaigns
-REMOVAL_WAIT_S = constants.GONE + 0.1  # silence after which a member may be removed
+ELECTION_WAIT_S = (
+    constants.ELECTION_TIMEOUT_MAX + 0.05
+)  # time without a leader after which a follower campaigns
+REMOVAL_WAIT_S = constants.REPLACEABLE_AFTER + 0.1  # silence after which a member may be removed
 
 
 class EventsMixin:
@@ -76,7 +78,7 @@
         """Records a vote of an empty replica, unless no member has ever known its address (floor 0)."""
         if message.operation == "vote" and outcome.ok and outcome.value["yes"]:
             if replica.blank and replica.floor != 0:
-                self.invalid_votes.append(f"{replica.params.addr} votes in term {outcome.value['t']}")
+                self.invalid_votes.append(f"{replica.settings.addr} votes in term {outcome.value['t']}")
 
     def do_lose(self, number):
         """Loses a message."""
@@ -137,7 +139,7 @@
     def do_knock(self, address):
         """A replica that is no member asks the leader to add it."""
         replica, leader = self.replicas.get(address), self.leader()
-        if replica is None or leader is None or address in replica.alms:
+        if replica is None or leader is None or address in replica.store_addresses:
             return
         if not (replica.blank and replica.floor is None):
             leader.serve(op="join", request={"addr": address}, caller=address, callback=lambda outcome: None)
@@ -145,7 +147,7 @@
     def do_depart(self, address):
         """A member that is about to shut down notifies the leader."""
         leader = self.leader()
-        if address in self.replicas and leader is not None and address != leader.params.addr:
+        if address in self.replicas and leader is not None and address != leader.settings.addr:
             leader.serve(
                 op="depart", request={"addr": address}, caller=address, callback=lambda outcome: None
             )
--- a/hollowhall/explore/invariants.py
+++ b/hollowhall/explore/invariants.py
@@ -12,16 +12,16 @@
     for replica in cluster.running():
         if replica.rank == LEADER:
             other = cluster.leader_of_term.setdefault(
-                replica.term, (replica.params.addr, replica.incarnation)
+                replica.term, (replica.settings.addr, replica.incarnation)
             )
-            if other != (replica.params.addr, replica.incarnation):
-                yield f"term {replica.term}: {other[0]} and {replica.params.addr}"
+            if other != (replica.settings.addr, replica.incarnation):
+                yield f"term {replica.term}: {other[0]} and {replica.settings.addr}"
 
 
 def committed_stays(cluster):
     """All replicas, at all times, know the same entry as committed at an index."""
     for replica in cluster.running():
-        address = replica.params.addr
+        address = replica.settings.addr
         start = max(replica.base_i, cluster.checked_to.get((address, replica.incarnation), 0))
         for index, term, body in replica.entries(start + 1):
             if index > replica.commit:
@@ -35,26 +35,26 @@
 def leader_holds_committed(cluster):
     """A new leader's log contains every entry that was committed before."""
     for replica in cluster.running():
-        key = (replica.term, replica.params.addr)
+        key = (replica.term, replica.settings.addr)
         if replica.rank != LEADER or key in cluster.checked_leaders:
             continue
         cluster.checked_leaders.add(key)
         for index, (term, _) in cluster.committed.items():
             if index > replica.base_i and replica.term_at(index) != term:
-                yield f"leader {replica.params.addr} of term {replica.term} lacks index {index}"
+                yield f"leader {replica.settings.addr} of term {replica.term} lacks index {index}"
 
 
 def state_equal_at_equal_index(cluster):
     """Replicas that have applied entries up to the same index have the same state."""
     for replica in cluster.running():
         index = replica.applied
-        if cluster.last_digested.get(replica.params.addr) == (replica.incarnation, index):
+        if cluster.last_digested.get(replica.settings.addr) == (replica.incarnation, index):
             continue
-        cluster.last_digested[replica.params.addr] = (replica.incarnation, index)
+        cluster.last_digested[replica.settings.addr] = (replica.incarnation, index)
         digest = (replica.record.digest(), sorted(replica.keys.kv.items()), replica.keys.rev)
         other = cluster.state_at_index.setdefault(index, digest)
         if other != digest:
-            yield f"index {index} at {replica.params.addr}"
+            yield f"index {index} at {replica.settings.addr}"
 
 
 def unheld_is_no_majority(cluster):
@@ -77,7 +77,7 @@
         if replica.rank == LEADER:
             for address in replica.voter_peers:
                 if address not in replica.conf["voters"]:
-                    yield f"{replica.params.addr} counts {address}"
+                    yield f"{replica.settings.addr} counts {address}"
     yield from cluster.invalid_votes
 
 
