--- a/hollowhall/explore/network.py
+++ b/hollowhall/explore/network.py
@@ -46,7 +46,7 @@
 
     def request(self, *, replica, target, operation, body, callback):
         self.add(
-            source=replica.params.addr,
+            source=replica.settings.addr,
             target=target,
             operation=operation,
             payload=pack(body),
@@ -84,14 +84,16 @@
     def __init__(self, *, replica, network, address):
         self.replica, self.network, self.address = replica, network, address
 
-    def ask(self, *, op, request, callback, wait=0.0):
+    def send_request(self, *, op, request, callback, wait=0.0):
         self.network.request(
             replica=self.replica, target=self.address, operation=op, body=request, callback=callback
         )
 
     async def call(self, *, op, request, wait=0.0):
         future = asyncio.get_running_loop().create_future()
-        self.ask(op=op, request=request, callback=lambda outcome: future.done() or future.set_result(outcome))
+        self.send_request(
+            op=op, request=request, callback=lambda outcome: future.done() or future.set_result(outcome)
+        )
         return await future
 
     def silent(self, *, now):
--- a/hollowhall/explore/replica.py
+++ b/hollowhall/explore/replica.py
@@ -77,26 +77,26 @@
         pass
 
     def writer(self, *, name):
-        return lambda event, **fields: self.events.append((event.no, fields))
+        return lambda event, **fields: self.events.append((event.number, fields))
 
 
 class ModelReplica(Almanac):
     """A replica from one start to the next; `incarnation` counts its starts."""
 
-    def __init__(self, *, params, seam, network, incarnation):
+    def __init__(self, *, settings, runtime, network, incarnation):
         self.network, self.incarnation, self.tasks = network, incarnation, []
-        super().__init__(params=params, seam=seam)
+        super().__init__(settings=settings, runtime=runtime)
 
     def link(self, *, addr):
         if addr not in self.links:
             self.links[addr] = ModelRpcClient(replica=self, network=self.network, address=addr)
         return self.links[addr]
 
-    def run_task(self, *, co, name=""):
+    def run_task(self, *, coroutine, name=""):
         if name not in TASKS_THAT_RUN:
-            co.close()
+            coroutine.close()
             return OmittedTask()
-        task = self.seam.loop.create_task(co)
+        task = self.runtime.loop.create_task(coroutine)
         self.tasks.append(task)
         return task
 
@@ -111,8 +111,8 @@
         self.open_clock()
         self.restore()
         self.open_members()
-        self.run_task(co=self.keep_disk(), name="disk")
-        self.run_task(co=self.keep_snaps(), name="snaps")
+        self.run_task(coroutine=self.keep_disk(), name="disk")
+        self.run_task(coroutine=self.keep_snaps(), name="snaps")
         self.open_joining()
         self.opened = True
         self.use_conf()
@@ -126,7 +126,7 @@
     def time_out(self):
         """What the leader check does after an election timeout: step down, recover, or campaign."""
         if self.rank == LEADER:
-            if self.quorum_age() > constants.ELECT_MAX:
+            if self.quorum_age() > constants.ELECTION_TIMEOUT_MAX:
                 self.become(role="follower", why="quorum not heard")
         elif self.blank:
             self.start_task(self.unblank())
@@ -134,6 +134,6 @@
             self.start_task(self.campaign())
 
     def start_task(self, coroutine):
-        task = self.seam.loop.create_task(coroutine)
+        task = self.runtime.loop.create_task(coroutine)
         self.tasks.append(task)
         return task
--- a/hollowhall/explore/search.py
+++ b/hollowhall/explore/search.py
@@ -91,7 +91,7 @@
         leader = cluster.leader()
         if leader is not None:
             for peer in list(leader.peers):
-                events.append(("append", leader.params.addr, peer))
+                events.append(("append", leader.settings.addr, peer))
                 cluster.apply(events[-1])
     return events
 
--- a/hollowhall/explore/walks.py
+++ b/hollowhall/explore/walks.py
@@ -65,12 +65,12 @@
     if not leaders:
         return None
     leader = rng.choice(leaders)
-    return ("append", leader.params.addr, rng.choice(leader.peers))
+    return ("append", leader.settings.addr, rng.choice(leader.peers))
 
 
 def choose_leader(name):
     def choose(cluster, setting, rng):
-        leaders = [r.params.addr for r in cluster.running() if r.rank == LEADER]
+        leaders = [r.settings.addr for r in cluster.running() if r.rank == LEADER]
         return (name, rng.choice(leaders)) if leaders else None
 
     return choose
@@ -84,10 +84,10 @@
     leader = rng.choice(leaders)
     if cluster.orders and rng.random() < 0.4:
         order = rng.choice(cluster.orders[-4:])
-        return ("order", leader.params.addr, order.number, order.base, order.author)
+        return ("order", leader.settings.addr, order.number, order.base, order.author)
     base = leader.record.charter.get("chosen", 0)
     number = base + rng.choice((1, 1, 2, 5))
-    return ("order", leader.params.addr, number, base, f"op{len(cluster.orders)}")
+    return ("order", leader.settings.addr, number, base, f"op{len(cluster.orders)}")
 
 
 def may_lose(cluster, setting, *, disk):
@@ -128,7 +128,7 @@
 
 
 def choose_knock(cluster, setting, rng):
-    outside = [r.params.addr for r in cluster.running() if r.params.addr not in r.alms]
+    outside = [r.settings.addr for r in cluster.running() if r.settings.addr not in r.store_addresses]
     return ("knock", rng.choice(outside)) if outside else None
 
 
--- a/hollowhall/hall/__init__.py
+++ b/hollowhall/hall/__init__.py
@@ -17,12 +17,12 @@
 class HallDesk(Desk):
     """A scheduler that uses the record of its store member."""
 
-    def __init__(self, *, params, seam, almanac):
+    def __init__(self, *, settings, runtime, almanac):
         self.almanac = almanac
-        super().__init__(params=params, seam=seam)
-        self.here = {almanac.params.addr: almanac}
+        super().__init__(settings=settings, runtime=runtime)
+        self.local_daemons = {almanac.settings.addr: almanac}
         self.loop_time = almanac.loop_time  # both run in one event loop
-        self.leads = almanac.leads
+        self.known_leaders = almanac.known_leaders
         almanac.listeners.append(self.before)
 
     @property
@@ -56,8 +56,8 @@
         pass
 
     async def tail_to(self, index, *, wait):
-        end = self.seam.now() + wait
-        while self.applied < index and self.seam.now() < end:
+        end = self.runtime.now() + wait
+        while self.applied < index and self.runtime.now() < end:
             await asyncio.sleep(constants.APPLY_POLL_PERIOD)
         return self.applied >= index
 
@@ -65,11 +65,11 @@
         """Lets the scheduler beside the store's leader go first: its batches need no network hop."""
         almanac = self.almanac
         if almanac.rank != LEADER:
-            await asyncio.sleep(constants.HOLD_KEEP * (0.6 + 0.4 * self.seam.rng.random()))
+            await asyncio.sleep(constants.KEEPALIVE_PERIOD * (0.6 + 0.4 * self.runtime.rng.random()))
 
     def can_open(self):
         almanac = self.almanac
-        return not almanac.blank and almanac.params.addr in almanac.voters and not almanac.out_of_touch()
+        return not almanac.blank and almanac.settings.addr in almanac.voters and not almanac.out_of_touch()
 
     def successor(self):
         return ""  # first_go lets the scheduler beside the store's next leader go first
@@ -81,21 +81,21 @@
     abstract = False
     role = "hall"
 
-    def __init__(self, *, params, seam):
+    def __init__(self, *, settings, runtime):
         super().__init__()
-        self.params, self.seam = params, seam
-        self.store = Almanac(params=params, seam=seam)
-        desk_params = type(params)(
+        self.settings, self.runtime = settings, runtime
+        self.store = Almanac(settings=settings, runtime=runtime)
+        desk_params = type(settings)(
             **{
-                **params.__dict__,
-                "addr": params.desk,
-                "id": params.id + ".desk",
+                **settings.__dict__,
+                "addr": settings.desk,
+                "id": settings.id + ".desk",
                 "role": "desk",
                 "bind": "",
                 "http": "",
             }
         )
-        self.desk = HallDesk(params=desk_params, seam=seam, almanac=self.store)
+        self.desk = HallDesk(settings=desk_params, runtime=runtime, almanac=self.store)
         self.say, self.ended = self.store.say, asyncio.Event()
 
     async def on_start(self):
@@ -120,14 +120,14 @@
     def failed(self):
         return self.store.failed or self.desk.failed
 
-    def take_params(self, settings):
-        self.store.take_params(settings)
-        self.desk.take_params(
+    def apply_settings(self, settings):
+        self.store.apply_settings(settings)
+        self.desk.apply_settings(
             type(settings)(
                 **{
                     **settings.__dict__,
-                    "addr": self.desk.params.addr,
-                    "id": self.desk.params.id,
+                    "addr": self.desk.settings.addr,
+                    "id": self.desk.settings.id,
                     "role": "desk",
                 }
             )
--- a/hollowhall/mast/__init__.py
+++ b/hollowhall/mast/__init__.py
@@ -9,12 +9,12 @@
 from functools import partial
 
 from ..base import constants, log_events
-from ..base.circuit import Link
+from ..base.circuit import RpcClient
 from ..base.daemon import Daemon
 from ..base.doors import Call, Reply
 from ..base.problems import CircuitDown, Full, Late, Leaving, NotLeader, NotPrimary, Unsure
-from ..base.ring_place import MemberMixin
-from ..base.slab import Slab
+from ..base.ring_place import MonitoringMixin
+from ..base.slab import PendingRequests
 from .admission import AdmissionMixin
 from .door import LoadSheddingMixin
 from .gauges import Gauges
@@ -35,64 +35,71 @@
     LoadSheddingMixin,
     RoutesMixin,
     HttpMixin,
-    MemberMixin,
+    MonitoringMixin,
     Daemon,
 ):
     """The gateway daemon: holds the configuration and the primary's address, and forwards requests."""
 
     role = "mast"
 
-    def __init__(self, *, params, seam):
-        super().__init__(params=params, seam=seam)
-        self.slab, self.gauges = Slab(cap=constants.SLAB_CAP), Gauges()
+    def __init__(self, *, settings, runtime):
+        super().__init__(settings=settings, runtime=runtime)
+        self.pending_requests, self.gauges = (
+            PendingRequests(capacity=constants.PENDING_REQUESTS_PER_CONNECTION),
+            Gauges(),
+        )
         self.charter, self.primary, self.primary_rev = {"version": 0, "rows": {}}, "", 0
         self.bulk_links = {}  # by the primary's address: a separate connection for submissions and reads
         self.retries = 0
         self.open_load_shedding()
 
     async def open(self):
-        self.open_member()
+        self.open_monitoring()
         self.open_admission()
-        self.run_task(co=self.follow_charter(), name="charter")
-        self.run_task(co=self.follow_primary(), name="primary")
+        self.run_task(coroutine=self.follow_charter(), name="charter")
+        self.run_task(coroutine=self.follow_primary(), name="primary")
         await self.open_http()
 
     async def shut(self):
-        for callback in self.slab.drain():
-            callback(Leaving(who=self.params.id))
+        for callback in self.pending_requests.drain():
+            callback(Leaving(who=self.settings.id))
         await self.close_http()
 
     async def leave(self):
         """Refuses new requests and waits for the pending ones, for a limited time."""
         await super().leave()
         for _ in range(50):
-            if self.slab.n == 0:
+            if self.pending_requests.n == 0:
                 break
-            await asyncio.sleep(constants.WATCHDOG)
+            await asyncio.sleep(constants.LEADER_CHECK_PERIOD)
 
     async def follow_charter(self):
         """Long-polls the configuration; only a version above the one held replaces it."""
         while True:
-            result = await self.near(
-                op="charter", request={"version": self.charter["version"]}, wait=constants.WATCH_WAIT + 1
+            result = await self.ask_any_member(
+                op="charter",
+                request={"version": self.charter["version"]},
+                wait=constants.LONG_POLL_TIMEOUT + 1,
             )
             if result.ok and result.value is not None and result.value["version"] > self.charter["version"]:
                 self.charter = result.value
             elif not result.ok:
-                await asyncio.sleep(constants.REDIAL)
+                await asyncio.sleep(constants.RECONNECT_DELAY)
 
     async def follow_primary(self):
         """Long-polls the store's entry that names the primary scheduler."""
         while True:
-            result = await self.near(
-                op="watch", request={"p": "desk/", "rev": self.primary_rev}, wait=constants.WATCH_WAIT + 1
+            result = await self.ask_any_member(
+                op="watch",
+                request={"p": "desk/", "rev": self.primary_rev},
+                wait=constants.LONG_POLL_TIMEOUT + 1,
             )
             if result.ok and result.value["news"] and result.value["rev"] > self.primary_rev:
                 self.primary_rev = result.value["rev"]
                 entry = result.value["kv"].get("desk/primary")
                 self.set_primary(addr=entry["v"]["addr"] if entry else "")
             elif not result.ok:
-                await asyncio.sleep(constants.REDIAL)
+                await asyncio.sleep(constants.RECONNECT_DELAY)
 
     def set_primary(self, *, addr):
         """Connects to another primary. Closes the connections to the previous one, so that requests
@@ -100,16 +107,18 @@
         previous, self.primary = self.primary, addr
         for links in (self.links, self.bulk_links) if previous and addr and previous != addr else ():
             if previous in links and links[previous].up:
-                links[previous].c.down()
+                links[previous].connection.down()
         if addr:
             self.way(op="beat", addr=addr)
             self.way(op="job", addr=addr)
 
-    def risky(self):
+    def members_to_avoid(self):
         """Also the store member on the primary's machine: the store's leader, the primary and the
         clock's leader mostly run on one machine."""
         machine = self.primary.rpartition(":")[0]
-        return super().risky() | {address for address in self.alms if address.rpartition(":")[0] == machine}
+        return super().members_to_avoid() | {
+            address for address in self.store_addresses if address.rpartition(":")[0] == machine
+        }
 
     def way(self, *, op, addr):
         """The connection to the primary for an operation. Submissions and reads have one of their own,
@@ -119,7 +128,7 @@
         if addr not in self.bulk_links:
             for address in [address for address in self.bulk_links if address != self.primary]:
                 self.bulk_links.pop(address).close()
-            self.bulk_links[addr] = Link(host=self, addr=addr)
+            self.bulk_links[addr] = RpcClient(host=self, addr=addr)
         return self.bulk_links[addr]
 
     # --- handling of a request
@@ -127,31 +136,31 @@
     def take(self, *, call, callback):
         """Handles an HTTP request; calls callback once with its Reply. Returns a function that frees
         the slot when the client disconnects."""
-        started_at = self.seam.now()
+        started_at = self.runtime.now()
 
         def done(result):
             reply = self.reply(result)
-            self.gauges.count(call.method, reply.status, self.seam.now() - started_at)
+            self.gauges.count(call.method, reply.status, self.runtime.now() - started_at)
             callback(reply)
 
-        slot = self.slab.put(callback=done)
+        slot = self.pending_requests.put(callback=done)
         if slot is None:
             callback(self.reply(Full(where="mast", after=constants.RETRY_AFTER)))
             return lambda: None
-        self.gauges.set_load(n=self.slab.n, lag=self.lag)
+        self.gauges.set_load(n=self.pending_requests.n, lag=self.loop_lag)
         if self.leaving:
-            self.finish(s=slot, o=Leaving(who=self.params.id))
+            self.finish(s=slot, o=Leaving(who=self.settings.id))
         else:
             self.route(call=call, slot=slot)
-        return lambda: self.slab.take(i=slot[0], g=slot[1])
+        return lambda: self.pending_requests.take(index=slot[0], generation=slot[1])
 
     def finish(self, *, s, o):
         """Answers the request in slot s with result o; does nothing if the slot was freed."""
-        callback = self.slab.take(i=s[0], g=s[1])
+        callback = self.pending_requests.take(index=s[0], generation=s[1])
         if callback is not None:
             callback(o)
 
-    def forward(self, *, op, request, slot, convert, wait=constants.ASK_WAIT, attempts=2):
+    def forward(self, *, op, request, slot, convert, wait=constants.CLIENT_REQUEST_TIMEOUT, attempts=2):
         """Forwards a request to the primary. Sends it once more if the first attempt was certainly not
         accepted and another primary is known; otherwise the client gets the failure at once. convert
         turns a successful result into the one that is answered; wait: s."""
@@ -159,7 +168,7 @@
         if not address:
             self.finish(s=slot, o=NotPrimary())
             return
-        self.way(op=op, addr=address).ask(
+        self.way(op=op, addr=address).send_request(
             op=op,
             request=request,
             wait=wait,
@@ -192,7 +201,7 @@
                 result = Unsure(why="store") if not safe else result
             self.finish(s=slot, o=convert(result) if result.ok else result)
 
-        self.run_task(co=go(), name=op)
+        self.run_task(coroutine=go(), name=op)
 
 
 __all__ = ["Mast", "Call", "Reply", "Late", "log_events"]
--- a/hollowhall/mast/admission.py
+++ b/hollowhall/mast/admission.py
@@ -33,17 +33,21 @@
 def charge_of(*, spec, limits):
     """The cost of a job in tokens: milliseconds of its tenant's whole limit, in the resource it uses most
     of. It depends on size (tasks, their resources, their estimated time) and kind: a gang, which must
-    start as a whole, costs CHARGE_GANG_TIMES as much; a long-running step counts for a fixed time. At
-    most CHARGE_MOST, since the limit itself bounds what a job may run at once. 0 without limits."""
+    start as a whole, costs CHARGE_GANG_FACTOR as much; a long-running step counts for a fixed time. At
+    most CHARGE_MAX, since the limit itself bounds what a job may run at once. 0 without limits."""
     if not any(limits):
         return 0
     total = 0
     for step in spec["steps"]:
         part = max((need / limit for need, limit in zip(step["room"], limits) if limit), default=0.0)
         lasts = spec["standing"] or step.get("forever")
-        ms = constants.CHARGE_LASTING_MS if lasts else step.get("estimateMs") or constants.CHARGE_USUAL_MS
-        total += step["tasks"] * part * ms * (constants.CHARGE_GANG_TIMES if step.get("gang") else 1)
-    return max(1, min(constants.CHARGE_MOST, round(total)))
+        ms = (
+            constants.CHARGE_LONG_RUNNING_MS
+            if lasts
+            else step.get("estimateMs") or constants.CHARGE_DEFAULT_MS
+        )
+        total += step["tasks"] * part * ms * (constants.CHARGE_GANG_FACTOR if step.get("gang") else 1)
+    return max(1, min(constants.CHARGE_MAX, round(total)))
 
 
 class AdmissionMixin:
@@ -54,13 +58,13 @@
         self.refill_seq = self.refill_answered = (
             0  # numbers of the last refill request and the last one answered
         )
-        self.refilled_at, self.refill_wanted = -constants.LOAN_S, asyncio.Event()
+        self.refilled_at, self.refill_wanted = -constants.LOAN_TERM, asyncio.Event()
         self.last_refill_ok = True  # whether the last refill request succeeded
 
     def begin_refills(self):
         """Called with the first bucket: a gateway without tenants that have limits requests no refills."""
-        self.life = f"{self.params.id}/{self.seam.rng.getrandbits(32):08x}"
-        self.run_task(co=self.refill_buckets(), name="refill")
+        self.life = f"{self.settings.id}/{self.runtime.rng.getrandbits(32):08x}"
+        self.run_task(coroutine=self.refill_buckets(), name="refill")
 
     # --- admission
 
@@ -70,13 +74,13 @@
 
     def bucket_of(self, tenant):
         """A tenant's bucket without its expired tokens; created, with a refill request, if it is new."""
-        now = self.seam.now()
+        now = self.runtime.now()
         bucket = self.buckets.get(tenant)
         if bucket is None:
             if not self.life:
                 self.begin_refills()
             bucket = self.buckets[tenant] = Bucket(
-                tokens=0, min_tokens=-constants.BUCKET_FIRST, until=now + constants.LOAN_S
+                tokens=0, min_tokens=-constants.NEW_BUCKET_DEBT_MAX, until=now + constants.LOAN_TERM
             )
             self.refill_wanted.set()
         elif now > bucket.until:
@@ -91,7 +95,7 @@
         if not charge:
             return Success(value=0)
         bucket = self.bucket_of(tenant)
-        bucket.last_active_at, bucket.asked = self.seam.now(), bucket.asked + charge
+        bucket.last_active_at, bucket.asked = self.runtime.now(), bucket.asked + charge
         if bucket.tokens > bucket.min_tokens:
             bucket.tokens -= charge
             bucket.admitted += 1
@@ -102,7 +106,7 @@
         bucket.refused += 1
         self.gauges.refused(tenant)
         self.refill_wanted.set()
-        kind = Throttled if self.seam.now() - self.refilled_at < constants.LOAN_S else BudgetUnknown
+        kind = Throttled if self.runtime.now() - self.refilled_at < constants.LOAN_TERM else BudgetUnknown
         return kind(resource="tenant", operation="submit", limit="budget", after=constants.RETRY_AFTER)
 
     def refund(self, *, tenant, charge):
@@ -143,10 +147,10 @@
 
     async def refill_due(self):
         """Waits for the next period or until a bucket is empty, at least a pause after the last refill."""
-        gap = constants.REFILL_GAP if self.last_refill_ok else constants.REFILL_AGAIN
+        gap = constants.REFILL_PERIOD_EMPTY if self.last_refill_ok else constants.REFILL_RETRY_DELAY
         await asyncio.sleep(gap)
         try:
-            await asyncio.wait_for(self.refill_wanted.wait(), constants.REFILL_S - gap)
+            await asyncio.wait_for(self.refill_wanted.wait(), constants.REFILL_PERIOD - gap)
         except TimeoutError:
             pass
         self.refill_wanted.clear()
@@ -154,11 +158,11 @@
     def drop_idle_buckets(self):
         """Drops buckets that were unused for a term, and those of removed tenants. The primary takes
         their tokens back with the next refill request, which does not name them."""
-        now, tenants = self.seam.now(), self.charter.get("tenants") or {}
+        now, tenants = self.runtime.now(), self.charter.get("tenants") or {}
         self.buckets = {
             tenant: bucket
             for tenant, bucket in self.buckets.items()
-            if tenant in tenants and now - bucket.last_active_at < constants.LOAN_S
+            if tenant in tenants and now - bucket.last_active_at < constants.LOAN_TERM
         }
 
     async def refill(self):
@@ -166,7 +170,7 @@
         that the primary can account for lost answers."""
         if not self.primary:
             return
-        sent, self.refill_seq = self.seam.now(), self.refill_seq + 1
+        sent, self.refill_seq = self.runtime.now(), self.refill_seq + 1
         asked = {tenant: self.bucket_of(tenant).asked for tenant in self.buckets}
         request = {
             "life": self.life,
@@ -176,7 +180,7 @@
             "counts": {name: [bucket.admitted, bucket.refused] for name, bucket in self.buckets.items()},
         }
         link = self.way(op="refill", addr=self.primary)
-        result = await link.call(op="refill", request=request, wait=constants.REFILL_WAIT)
+        result = await link.call(op="refill", request=request, wait=constants.REFILL_TIMEOUT)
         if not result.ok:
             if self.last_refill_ok:
                 self.say(log_events.REFILL_FAILED, failure=type(result).__name__)
@@ -186,6 +190,6 @@
         for tenant, tokens in result.value["granted"].items():
             if tenant in self.buckets:
                 bucket = self.buckets[tenant]
-                bucket.tokens, bucket.until = bucket.tokens + tokens, sent + constants.LOAN_S
+                bucket.tokens, bucket.until = bucket.tokens + tokens, sent + constants.LOAN_TERM
                 bucket.min_tokens = 0
                 bucket.asked = max(0, bucket.asked - asked[tenant])
--- a/hollowhall/mast/door.py
+++ b/hollowhall/mast/door.py
@@ -15,13 +15,15 @@
     """Decides which job submissions and reads are refused under load."""
 
     def open_load_shedding(self):
-        self.shed_f, self.admitted_recently, self.decayed_at = 0.0, 0.0, self.seam.now()
-        self.cut, self.cut_at, self.came = 0.0, self.seam.now(), {}
-        self.shed_since_log, self.shed_logged_at = 0, -constants.SHED_SAY
+        self.shed_f, self.admitted_recently, self.decayed_at = 0.0, 0.0, self.runtime.now()
+        self.cut, self.cut_at, self.came = 0.0, self.runtime.now(), {}
+        self.shed_since_log, self.shed_logged_at = 0, -constants.LOAD_LOG_INTERVAL
 
     def full(self):
         """The load relative to its limit: 1.0 is full."""
-        return max(self.slab.n / self.params.shed_at, self.lag / constants.LAG_FULL)
+        return max(
+            self.pending_requests.n / self.settings.shed_at, self.loop_lag / constants.GATEWAY_FULL_LAG
+        )
 
     def crowded(self, *, lane, s, read=False):
         """Whether this request was refused, and answered with Shed. Reads are refused whenever the load
@@ -31,27 +33,32 @@
         if not read:
             self.came[urgency] = self.came.get(urgency, 0.0) + 1.0
         full = self.full()
-        if full > constants.DOOR_SHUT or (full > 1.0 if read else self.in_refused_fraction(urgency)):
+        if full > constants.LOAD_SUBMISSIONS_CLOSED or (
+            full > 1.0 if read else self.in_refused_fraction(urgency)
+        ):
             self.gauges.shed(lane)
             self.shed_since_log += 1
-            if self.seam.now() - self.shed_logged_at > constants.SHED_SAY:
+            if self.runtime.now() - self.shed_logged_at > constants.LOAD_LOG_INTERVAL:
                 self.say(
-                    log_events.ASK_SHED, lane=lane, since_last=self.shed_since_log, in_flight=self.slab.n
+                    log_events.ASK_SHED,
+                    lane=lane,
+                    since_last=self.shed_since_log,
+                    in_flight=self.pending_requests.n,
                 )
-                self.shed_logged_at, self.shed_since_log = self.seam.now(), 0
+                self.shed_logged_at, self.shed_since_log = self.runtime.now(), 0
             self.shed_f += 1.0
             self.finish(
                 s=s,
                 o=Shed(
                     lane=lane,
                     after=min(
-                        constants.AFTER_MAX,
+                        constants.RETRY_AFTER_MAX,
                         constants.RETRY_AFTER
                         + int(
-                            constants.SHED_SPAN
+                            constants.SHED_COUNTS_HALF_LIFE
                             * self.shed_f
                             / (self.admitted_recently + 1.0)
-                            * 2 ** (-urgency / constants.URGENT_TWICE)
+                            * 2 ** (-urgency / constants.URGENCY_HALVING_RETRY_AFTER)
                         ),
                     ),
                 ),
@@ -65,13 +72,13 @@
         refused before any of this urgency; of this one at random as many as fill the rest."""
         lower = sum(count for other, count in self.came.items() if other < urgency)
         remaining = self.cut * sum(self.came.values()) - lower
-        return remaining > 0 and self.seam.rng.random() * self.came[urgency] < remaining
+        return remaining > 0 and self.runtime.rng.random() * self.came[urgency] < remaining
 
     def decay_counts(self):
         """Decays the counts of recent submissions exponentially, and adjusts the refused fraction. That
         fraction changes with the load and the time elapsed, not with the number of requests."""
-        now = self.seam.now()
-        factor = 0.5 ** ((now - self.decayed_at) / constants.SHED_SPAN)
+        now = self.runtime.now()
+        factor = 0.5 ** ((now - self.decayed_at) / constants.SHED_COUNTS_HALF_LIFE)
         self.shed_f, self.admitted_recently, self.decayed_at = (
             self.shed_f * factor,
             self.admitted_recently * factor,
@@ -79,5 +86,9 @@
         )
         self.came = {urgency: count * factor for urgency, count in self.came.items() if count * factor > 0.01}
         elapsed, self.cut_at = min(1.0, now - self.cut_at), now
-        step = constants.CUT_UP if self.full() > constants.DOOR_FULL else -constants.CUT_DOWN
-        self.cut = max(0.0, min(constants.CUT_MOST, self.cut + step * elapsed))
+        step = (
+            constants.REFUSED_FRACTION_RISE
+            if self.full() > constants.LOAD_FULL
+            else -constants.REFUSED_FRACTION_FALL
+        )
+        self.cut = max(0.0, min(constants.REFUSED_FRACTION_MAX, self.cut + step * elapsed))
--- a/hollowhall/mast/operators.py
+++ b/hollowhall/mast/operators.py
@@ -51,7 +51,7 @@
     try:
         return schema.load(data)
     except ValidationError as e:
-        raise Raised(BadInput(errors=flat(e=e.messages))) from None
+        raise Raised(BadInput(errors=flat(messages=e.messages))) from None
 
 
 class OperatorsMixin:
@@ -64,7 +64,7 @@
 
     def charter_edit(self, call, s):
         data = load(EDIT, self.body(call))
-        self.run_task(co=self.edit_rows(data=data, whole=call.method == "PUT", slot=s), name="edit")
+        self.run_task(coroutine=self.edit_rows(data=data, whole=call.method == "PUT", slot=s), name="edit")
 
     async def edit_rows(self, *, data, whole, slot):
         """Validates a configuration change and sends it to the store. A large table is validated in
@@ -72,25 +72,25 @@
         whole: the rows replace the whole table, instead of single rows."""
         check, rows = rows_checked(data.get("rows", {})), None
         while rows is None:
-            started_at = self.seam.now()
+            started_at = self.runtime.now()
             try:
-                self.seam.spend(s=next(check) * constants.ROW_CHECK)
+                self.runtime.spend(s=next(check) * constants.CHECK_ROW_CPU_TIME)
             except StopIteration as error:
                 rows = error.value
             except Raised as error:
-                self.finish(s=slot, o=error.problem)
+                self.finish(s=slot, o=error.failure)
                 return
             except Exception as error:  # a fault in one request must not end the gateway
-                self.oops(error)
+                self.log_exception(error)
                 self.finish(s=slot, o=Broken(where="mast", why=type(error).__name__))
                 return
             else:
                 await asyncio.sleep(0)
-                await asyncio.sleep(self.seam.now() - started_at)
+                await asyncio.sleep(self.runtime.now() - started_at)
         try:
             tenants = check_tenants(data["tenants"]) if "tenants" in data else None
         except Raised as error:
-            self.finish(s=slot, o=error.problem)
+            self.finish(s=slot, o=error.failure)
             return
         if whole and ("rows" not in data or None in [*rows.values(), *(tenants or {}).values()]):
             self.finish(s=slot, o=BadInput(errors=[["rows", "a whole table has no null rows"]]))
@@ -124,8 +124,8 @@
             return Success(
                 value=result.value
                 | {
-                    "daemons": self.view,
-                    "view": self.view_rev,
+                    "daemons": self.fleet,
+                    "view": self.fleet_revision,
                     "primary": self.primary,
                     "charter": self.charter["version"],
                 }
--- a/hollowhall/mast/requests.py
+++ b/hollowhall/mast/requests.py
@@ -34,31 +34,34 @@
     def request(self, *, op, request, callback, wait):
         """Sends a request; callback is called once with the result. Returns a function that frees the
         slot when the client disconnects. wait: s, at most."""
-        slot = self.slab.put(callback=callback)
+        slot = self.pending_requests.put(callback=callback)
         if slot is None:
             callback(Full(where="mast", after=constants.RETRY_AFTER))
             return lambda: None
         if self.leaving:
-            self.finish(s=slot, o=Leaving(who=self.params.id))
+            self.finish(s=slot, o=Leaving(who=self.settings.id))
             return lambda: None
-        self.gauges.set_load(n=self.slab.n, lag=self.lag)
-        self.try_request(Request(op=op, body=request, slot=slot, deadline=self.seam.now() + wait))
-        return lambda: self.slab.take(i=slot[0], g=slot[1])
+        self.gauges.set_load(n=self.pending_requests.n, lag=self.loop_lag)
+        self.try_request(Request(op=op, body=request, slot=slot, deadline=self.runtime.now() + wait))
+        return lambda: self.pending_requests.take(index=slot[0], generation=slot[1])
 
     def is_pending(self, request):
         """Whether the request is still unanswered and its client connected."""
         index, generation = request.slot
-        return index < len(self.slab.gens) and self.slab.gens[index] == generation
+        return (
+            index < len(self.pending_requests.generations)
+            and self.pending_requests.generations[index] == generation
+        )
 
     def try_request(self, request):
         """Sends the next attempt, or ends the request if its time is over or the store unreachable."""
-        left = request.deadline - self.seam.now()
+        left = request.deadline - self.runtime.now()
         if not self.is_pending(request):
             return
         if left <= 0:
             self.give_up(request)
             return
-        if not any(self.link(addr=store_address).up for store_address in self.alms):
+        if not any(self.link(addr=store_address).up for store_address in self.store_addresses):
             self.give_up(request)  # isolated: another gateway may serve the client sooner
             return
         address = self.primary
@@ -67,10 +70,10 @@
             return
         request.attempt += 1
         attempt = request.attempt
-        self.way(op=request.op, addr=address).ask(
+        self.way(op=request.op, addr=address).send_request(
             op=request.op,
             request=request.body,
-            wait=min(left, constants.ATTEMPT_WAIT),
+            wait=min(left, constants.REQUEST_ATTEMPT_TIMEOUT),
             callback=partial(self.back, request, attempt, address),
         )
 
@@ -94,7 +97,7 @@
     def retry_later(self, *, request, result):
         request.last_result = result
         self.retries += 1
-        asyncio.get_running_loop().call_later(constants.ATTEMPT_GAP, self.try_request, request)
+        asyncio.get_running_loop().call_later(constants.REQUEST_ATTEMPT_PAUSE, self.try_request, request)
 
     def give_up(self, request):
         """Ends a request without an answer: Unsure if an attempt of a change may have been accepted."""
@@ -103,7 +106,7 @@
 
     def is_ready(self):
         """Success if this gateway can serve: it has a configuration and a connection to the store."""
-        up = any(self.link(addr=address).up for address in self.alms)
+        up = any(self.link(addr=address).up for address in self.store_addresses)
         if self.leaving or self.charter["version"] < 2 or not up:
             return NotPrimary()
         return Success(value={"ready": True})
--- a/hollowhall/mast/routes.py
+++ b/hollowhall/mast/routes.py
@@ -66,9 +66,9 @@
         try:
             self.route_to(call=call, parts=[x for x in call.path.split("/") if x], slot=slot)
         except Raised as e:
-            self.finish(s=slot, o=e.problem)
+            self.finish(s=slot, o=e.failure)
         except Exception as e:  # a fault must not leave the client without an answer
-            self.oops(e)
+            self.log_exception(e)
             self.finish(s=slot, o=Broken(where="mast", why=type(e).__name__))
 
     def route_to(self, *, call, parts, slot):
@@ -144,7 +144,7 @@
         headers, body = {}, to_json(result)
         if result.status in (429, 503, 504):
             after = getattr(result, "after", constants.RETRY_AFTER)  # spread, so that a crowd does not
-            after += self.seam.rng.randrange(after + 1)  # come back in step
+            after += self.runtime.rng.randrange(after + 1)  # come back in step
             headers["Retry-After"], body["after"] = str(after), after
         return Reply(status=result.status, body=body, headers=headers)
 
@@ -158,7 +158,7 @@
 
     def spend_check(self):
         """Charges the CPU time of validating a job, in the simulation."""
-        self.seam.spend(s=constants.JOB_CHECK)
+        self.runtime.spend(s=constants.CHECK_JOB_CPU_TIME)
 
     def job_get(self, call, s, name):
         if self.crowded(lane="", s=s, read=True):
@@ -186,7 +186,7 @@
                 "prefix": query.get("prefix", ""),
                 "lane": query.get("lane", ""),
                 "state": query.get("state", ""),
-                "most": number(query, "most", top=constants.PAGE_MAX),
+                "most": number(query, "most", top=constants.LISTING_PAGE_MAX),
             },
         )
 
@@ -210,7 +210,7 @@
                 | {"stops": [str(x) for x in answer["stops"]], "live": [str(x) for x in answer["live"]]}
             )
 
-        self.forward(op="beat", request=report, slot=s, wait=constants.CALL_WAIT, convert=then)
+        self.forward(op="beat", request=report, slot=s, wait=constants.REQUEST_TIMEOUT, convert=then)
 
     def worker_leave(self, call, s, worker_id):
         check_name(worker_id)
--- a/hollowhall/mast/shell.py
+++ b/hollowhall/mast/shell.py
@@ -2,8 +2,8 @@
 the gateway disables this one by setting no address for it."""
 
 from ..base import constants
-from ..base.doors import Door
-from ..base.limits import bounds_of, patience_of
+from ..base.doors import HttpListener
+from ..base.limits import client_limits, connection_bounds
 from ..base.problems import Crowded, TooLarge
 
 PRIORITY_PATHS = ("/v1/workers/", "/v1/charter", "/v1/members", "/readyz", "/healthz")
@@ -14,15 +14,15 @@
 
     async def open_http(self):
         self.shell = None
-        if self.params.http:
-            self.shell = Door(
-                seam=self.seam,
-                addr=self.params.http,
-                take=self.take,
-                most=constants.BODY_MAX,
-                bounds=bounds_of(self.params),
+        if self.settings.http:
+            self.shell = HttpListener(
+                runtime=self.runtime,
+                addr=self.settings.http,
+                handler=self.take,
+                max_body_bytes=constants.BODY_MAX,
+                bounds=connection_bounds(self.settings),
                 first=lambda method, path: path.startswith(PRIORITY_PATHS),
-                patience=lambda: patience_of(settings=self.params, limits={}),
+                patience=lambda: client_limits(settings=self.settings, limits={}),
                 too_large=lambda limit: self.reply(TooLarge(limit=limit)),
                 full=lambda where: self.reply(Crowded(where=where, after=constants.RETRY_AFTER)),
             )
@@ -30,4 +30,4 @@
 
     async def close_http(self):
         if self.shell is not None:
-            await self.shell.shut()
+            await self.shell.close()
--- a/hollowhall/mast/tenants.py
+++ b/hollowhall/mast/tenants.py
@@ -44,7 +44,9 @@
             self.finish(s=s, o=admitted)
             return
         on_result = partial(partial, self.submitted, tenant=tenant, charge=admitted.value)
-        self.slab.wrap(i=s[0], g=s[1], around=lambda callback: on_result(callback=callback))
+        self.pending_requests.wrap(
+            index=s[0], generation=s[1], around=lambda callback: on_result(callback=callback)
+        )
         request = {"name": name, "spec": spec, "digest": digest}
         self.forward(op="job", request=request, slot=s, convert=lambda result: result)
 
--- a/hollowhall/record/charter.py
+++ b/hollowhall/record/charter.py
@@ -24,7 +24,9 @@
     maxFailures = fields.Int(strict=True, validate=RANGE(min=1, max=1000))
     stretch = fields.Float(validate=RANGE(min=0.0, max=1e6))
     aimMs = fields.Int(strict=True, validate=RANGE(min=0, max=1 << 40))
-    place = fields.Str(validate=validate.Length(max=constants.PLACE_MAX))  # where callers reach the queue
+    place = fields.Str(
+        validate=validate.Length(max=constants.QUEUE_PATH_MAX_LENGTH)
+    )  # where callers reach the queue
     open = fields.Bool(truthy={True}, falsy={False})  # callers need no key
     note = fields.Dict()  # the operator's own text, kept as it is
 
@@ -80,9 +82,11 @@
     lane = fields.Str(required=True, validate=NAME)
     notBefore = fields.Int(strict=True, load_default=0, validate=RANGE(min=0, max=1 << 44))
     standing = fields.Bool(load_default=False)
-    place = fields.Str(validate=validate.Length(max=constants.PLACE_MAX))  # the place it was submitted at
+    place = fields.Str(
+        validate=validate.Length(max=constants.QUEUE_PATH_MAX_LENGTH)
+    )  # the place it was submitted at
     tenant = fields.Str(
-        validate=validate.Length(min=1, max=constants.TENANT_NAME_MAX)
+        validate=validate.Length(min=1, max=constants.TENANT_NAME_MAX_LENGTH)
     )  # the tenant whose key the request had
     work = fields.Dict()  # given to the worker if a step has no work of its own
     steps = fields.List(fields.Nested(StepSchema), required=True, validate=validate.Length(min=1, max=200))
@@ -132,15 +136,15 @@
     if len(rows) > constants.RULES[constants.LEVEL]["rows_max"]:
         raise_bad_input([["rows", f"more than {constants.RULES[constants.LEVEL]['rows_max']} rows"]])
     for index, (lane, row) in enumerate(rows.items()):
-        if index % constants.ROWS_SLICE == constants.ROWS_SLICE - 1:
-            yield constants.ROWS_SLICE
+        if index % constants.ROWS_PER_SLICE == constants.ROWS_PER_SLICE - 1:
+            yield constants.ROWS_PER_SLICE
         try:
             NAME(lane)
             checked[lane] = None if row is None else ROW.load(row)
         except ValidationError as error:
             errors += [
                 [f"rows.{lane}" + (f".{field}" if field else ""), message]
-                for field, message in flat(e=error.messages)
+                for field, message in flat(messages=error.messages)
             ]
     if errors:
         raise_bad_input(errors)
@@ -159,7 +163,7 @@
     try:
         job = JOB.load(body)
     except ValidationError as error:
-        raise_bad_input(flat(e=error.messages))
+        raise_bad_input(flat(messages=error.messages))
     names, errors = [step["name"] for step in job["steps"]], []
     if len(set(names)) < len(names):
         errors.append(["steps", "two steps share a name"])
--- a/hollowhall/record/copying.py
+++ b/hollowhall/record/copying.py
@@ -16,12 +16,12 @@
     def __init__(self, *, rec):
         self.head, self.blobs = rec.pack(jobs=False), []
         self.left = dict(rec.jobs)
-        self.rec, self.most = rec, min(constants.PACK_FIRST, constants.PACK_SLICE)
+        self.rec, self.most = rec, min(constants.PACK_FIRST_SLICE_TASKS, constants.PACK_SLICE_MAX_TASKS)
 
     def put(self, jobs, spend):
         """Packs jobs, after reporting the CPU time that this takes to `spend`."""
         tasks = sum(len(job.tasks) for job in jobs)
-        spend(s=tasks * constants.PACK_TASK)
+        spend(s=tasks * constants.PACK_TASK_CPU_TIME)
         self.blobs.append(pack([job.pack() for job in jobs]))
 
     def paced(self, *, s):
@@ -29,8 +29,11 @@
         that a slice blocks the event loop for about as long on a processor of any speed."""
         self.most = int(
             min(
-                constants.PACK_SLICE,
-                max(constants.PACK_LEAST, min(2 * self.most, self.most * constants.PACK_AIM / max(s, 1e-4))),
+                constants.PACK_SLICE_MAX_TASKS,
+                max(
+                    constants.PACK_SLICE_MIN_TASKS,
+                    min(2 * self.most, self.most * constants.PACK_SLICE_TARGET_TIME / max(s, 1e-4)),
+                ),
             )
         )
 
@@ -66,7 +69,7 @@
         """(snapshot, result of `also` at the moment it was begun), or None if the record was loaded
         from another snapshot meanwhile. One at a time: a second caller waits for the first."""
         while self.copying is not None:
-            await asyncio.sleep(constants.TURN_GAP)
+            await asyncio.sleep(constants.BATCH_INTERVAL_MIN)
         copying = self.copying = Copying(rec=self)
         extra, self.spend = also(), spend
         try:
@@ -74,8 +77,8 @@
                 started = now()
                 if not copying.slice(spend):
                     break
-                await asyncio.sleep(constants.PACK_GAP)
-                copying.paced(s=now() - started - constants.PACK_GAP)
+                await asyncio.sleep(constants.PACK_SLICE_PAUSE)
+                copying.paced(s=now() - started - constants.PACK_SLICE_PAUSE)
                 await asyncio.sleep(now() - started)  # packing takes at most half of the time
                 if self.copying is not copying:
                     return None
--- a/hollowhall/record/reservation_bodies.py
+++ b/hollowhall/record/reservation_bodies.py
@@ -43,7 +43,7 @@
     try:
         reservation = RESERVATION.load(body)
     except ValidationError as error:
-        raise Raised(BadInput(errors=flat(e=error.messages))) from None
+        raise Raised(BadInput(errors=flat(messages=error.messages))) from None
     room, errors = reservation["room"], []
     reservation["room"], reservation["lanes"] = (
         [room["cores"], room["memMb"], room["gpus"]],
@@ -64,7 +64,7 @@
     try:
         change = SHORTER.load(body)
     except ValidationError as error:
-        raise Raised(BadInput(errors=flat(e=error.messages))) from None
+        raise Raised(BadInput(errors=flat(messages=error.messages))) from None
     if not change:
         raise Raised(BadInput(errors=[["untilMs", "untilMs or count is wanted"]]))
     return change
--- a/hollowhall/record/tenant_bodies.py
+++ b/hollowhall/record/tenant_bodies.py
@@ -25,9 +25,9 @@
     memMb = fields.Int(strict=True, load_default=0, validate=ROOM)
     gpus = fields.Int(strict=True, load_default=0, validate=ROOM)
     keys = fields.List(
-        fields.Str(validate=validate.Length(min=1, max=constants.KEY_MAX)),
+        fields.Str(validate=validate.Length(min=1, max=constants.TENANT_KEY_MAX_LENGTH)),
         load_default=list,
-        validate=validate.Length(max=constants.KEYS_MAX),
+        validate=validate.Length(max=constants.TENANT_KEYS_MAX),
     )
     note = fields.Dict()  # the operator's own text, kept as it is
 
@@ -55,13 +55,17 @@
         raise Raised(BadInput(errors=[["tenants", f"more than {constants.TENANTS_MAX} tenants"]]))
     checked, errors = {}, []
     for name, row in tenants.items():
-        if not isinstance(name, str) or not 0 < len(name) <= constants.TENANT_NAME_MAX:
-            errors.append(["tenants", f"a name of 1 to {constants.TENANT_NAME_MAX} characters is wanted"])
+        if not isinstance(name, str) or not 0 < len(name) <= constants.TENANT_NAME_MAX_LENGTH:
+            errors.append(
+                ["tenants", f"a name of 1 to {constants.TENANT_NAME_MAX_LENGTH} characters is wanted"]
+            )
             continue
         try:
             checked[name] = None if row is None else tenant_row(row)
         except ValidationError as error:
-            errors += [[f"tenants.{name}.{field}", message] for field, message in flat(e=error.messages)]
+            errors += [
+                [f"tenants.{name}.{field}", message] for field, message in flat(messages=error.messages)
+            ]
     if errors:
         raise Raised(BadInput(errors=errors))
     return checked
--- a/hollowhall/sim/net.py
+++ b/hollowhall/sim/net.py
@@ -192,10 +192,10 @@
     async def dial(self, *, addr):
         from ..base import constants
 
-        return await asyncio.wait_for(self.net.dial(self.node, addr), constants.DIAL_WAIT)
+        return await asyncio.wait_for(self.net.dial(self.node, addr), constants.CONNECT_TIMEOUT)
 
-    async def listen(self, *, addr, got):
-        self.net.ports[addr] = (self.node, got)
+    async def listen(self, *, addr, on_connection):
+        self.net.ports[addr] = (self.node, on_connection)
         return Port(net=self.net, addr=addr)
 
     def dial_http(self):
--- a/hollowhall/sim/world.py
+++ b/hollowhall/sim/world.py
@@ -8,7 +8,7 @@
 import random
 
 from ..almanac import Almanac
-from ..base.params import Params
+from ..base.params import DaemonSettings
 from ..base.problems import Unsure
 from ..desk import Desk
 from ..mast import Mast
@@ -49,7 +49,7 @@
     def writer(self, *, name):
         def write(log_event, **fields):
             tail = " ".join(f"{field}={value}" for field, value in fields.items())
-            self.world.log.append(f"{self.world.loop.vt:.6f} {name} HH{log_event.no} {tail}")
+            self.world.log.append(f"{self.world.loop.vt:.6f} {name} HH{log_event.number} {tail}")
 
         return write
 
@@ -57,7 +57,7 @@
 class World(StandsMixin):
     """A simulated fleet: its machines, its processes (`nodes`, by name), its log and its history."""
 
-    def __init__(self, *, seed, shape, almanacs=3, desks=3, masts=None, params=None, build=None):
+    def __init__(self, *, seed, shape, almanacs=3, desks=3, masts=None, settings=None, build=None):
         gc.collect()  # objects of an earlier World must not be finalized during this one
         self.seed, self.shape, self.rng = seed, shape, random.Random(seed)
         self.loop = SimLoop()
@@ -68,7 +68,7 @@
         self.cpu_times, self.paces, self.pace_rng = 1.0, {}, random.Random(seed * 31 + 7)
         self.step_s = 0.0  # s of CPU time of one callback; 0: callbacks take no time
         self.run_on = 4  # one worker in so many keeps running tasks without a lease
-        self.extra, self.build = params or {}, build or ROLES
+        self.extra, self.build = settings or {}, build or ROLES
         self.hist = History(now=self.true_ms)
         self.mates, self.worker_nodes = {}, {}
         gateways = masts or shape.masts
@@ -142,10 +142,10 @@
         machine = card.pop("machine")
         node = Node(name=name, machine=machine, loop=self.loop)
         node.http = []
-        settings = Params(
+        settings = DaemonSettings(
             **card, **({"ring_files": 4, "snap_every": 60} if card["role"] == "almanac" else {}) | self.extra
         )
-        daemon = self.build[card["role"]](params=settings, seam=SimSeam(world=self, node=node))
+        daemon = self.build[card["role"]](settings=settings, runtime=SimSeam(world=self, node=node))
         node.daemon, node.cost = daemon, self.step_s
         self.nodes[name] = node
         node.run(self.up(node, daemon))
@@ -243,7 +243,7 @@
                 ),
             ):
                 if len(daemons) > 1:
-                    self.hist.note("both", duty=duty, ids=[daemon.params.id for daemon in daemons])
+                    self.hist.note("both", duty=duty, ids=[daemon.settings.id for daemon in daemons])
 
     def run(self, coroutine, *, limit=3600.0):
         """Runs a coroutine to its end, at most `limit` s of virtual time; its result. Ends the simulation."""
--- a/hollowhall/tools/experiment/command.py
+++ b/hollowhall/tools/experiment/command.py
@@ -46,7 +46,7 @@
             a, b = read_policy(off=self.option("a-off")), read_policy(off=self.option("off"))
             seeds = seeds_of(self.option("seeds"))
         except Raised as e:
-            for field, why in e.problem.errors:
+            for field, why in e.failure.errors:
                 self.line_error(f"{field}: {why}")
             return FOUND_BAD
         pair = a != b
@@ -106,7 +106,7 @@
         try:
             self.line(share_plot(title="part of the room in use, by second", series=series))
         except Raised as e:
-            self.line_error(f"{e.problem.what} is wanted: pip install {e.problem.extra}")
+            self.line_error(f"{e.failure.what} is wanted: pip install {e.failure.extra}")
 
 
 EXPERIMENT = [ExperimentCommand]
--- a/hollowhall/tools/experiment/fleet.py
+++ b/hollowhall/tools/experiment/fleet.py
@@ -20,8 +20,8 @@
     def __init__(self, *, rows, workload, policy):
         self.policy = policy
         super().__init__(rows=rows)
-        self.params.far_times, self.params.hold_ms = workload.spread_factor, workload.lease_ms
-        self.params.margin_ms = int(workload.lease_ms * 0.02) + 250
+        self.settings.far_times, self.settings.hold_ms = workload.spread_factor, workload.lease_ms
+        self.settings.margin_ms = int(workload.lease_ms * 0.02) + 250
 
     def take_over(self):
         """A new primary knows what the record holds, and takes every lease for fresh."""
@@ -141,7 +141,7 @@
         if self.now < self.outage_until:
             return
         self.accept_jobs()
-        if round(self.now / TICK_S) % round(constants.PEEK_BACK / TICK_S) == 0:
+        if round(self.now / TICK_S) % round(constants.ENDED_JOBS_CHECK_PERIOD / TICK_S) == 0:
             primary.look_after(now=self.now, ms=primary.clock_ms())
         primary.turn()
         self.note_ended_jobs()
--- a/hollowhall/tools/experiment/workload.py
+++ b/hollowhall/tools/experiment/workload.py
@@ -191,7 +191,7 @@
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as e:
         raise Raised(BadInput(errors=[[str(path), str(e)]])) from None
     except ValidationError as e:
-        raise Raised(BadInput(errors=flat(e=e.messages))) from None
+        raise Raised(BadInput(errors=flat(messages=e.messages))) from None
     names = [q.name for q in workload.queues]
     bad = [["queues", f"{n!r} stands twice"] for n in {n for n in names if names.count(n) > 1}]
     bad += [
--- a/hollowhall/tools/explain/command.py
+++ b/hollowhall/tools/explain/command.py
@@ -137,7 +137,7 @@
         try:
             self.line(share_plot(title="share of jobs that ended in aim, line by line", series=series))
         except Raised as error:
-            self.line_error(f"{error.problem.what} is wanted: pip install {error.problem.extra}")
+            self.line_error(f"{error.failure.what} is wanted: pip install {error.failure.extra}")
 
 
 EXPLAIN = [ExplainCommand]
--- a/hollowhall/tools/explain/lines.py
+++ b/hollowhall/tools/explain/lines.py
@@ -75,7 +75,7 @@
         return None
     number, fields = int(match["number"]), dict(FIELD.findall(match["fields"]))
     lead = match["lead"].strip()
-    if number == log_events.JOB_TRACE.no and "job" in fields:
+    if number == log_events.JOB_TRACE.number and "job" in fields:
         return TracedJob(
             name=fields["job"],
             queue=fields.get("queue", ""),
@@ -90,7 +90,7 @@
             thrown_away=parse_counts(fields.get("thrown_away", "-")),
             lead=lead,
         )
-    if number == log_events.QUEUE_TRACE.no and "queue" in fields:
+    if number == log_events.QUEUE_TRACE.number and "queue" in fields:
         return QueueLine(
             queue=fields["queue"],
             ended=int_field(fields, "ended"),
--- a/hollowhall/tools/fleet/commands.py
+++ b/hollowhall/tools/fleet/commands.py
@@ -167,7 +167,7 @@
         try:
             d = read_fleet(self.option("fleet"))
         except Raised as e:
-            self.line_error(e.problem.errors[0][1])
+            self.line_error(e.failure.errors[0][1])
             return 2
         return self.stand(d)
 
--- a/hollowhall/tools/measure/cpu.py
+++ b/hollowhall/tools/measure/cpu.py
@@ -1,7 +1,7 @@
 """What asks cost a processor, on real processes: a small fleet is started, asks of one
 kind after another are sent to its one mast, and the CPU time that each daemon's process
 took (from /proc) is divided by their number. The simulation's costs (CPU in sim/world.py,
-PACK_TASK and its like) are set from these figures."""
+PACK_TASK_CPU_TIME and its like) are set from these figures."""
 
 import asyncio
 import os
--- a/hollowhall/tools/measure/place.py
+++ b/hollowhall/tools/measure/place.py
@@ -30,7 +30,7 @@
         st += 1
         rec.ev_job(st, f"j{n}", spec, dg)
     t = time.process_time()
-    rd = Round(rec=rec, now=st >> constants.LOGICAL_BITS, most=constants.TURN_EVENTS)
+    rd = Round(rec=rec, now=st >> constants.LOGICAL_BITS, most=constants.BATCH_EVENTS_MAX)
     n, out = 0, rd.run()
     t = (time.process_time() - t) * 1000
     while out:  # until all is full: then a round with nothing to grant
@@ -38,7 +38,7 @@
             st += 1
             n += rec.ev_grant(st, task, w)[0] == "ok"
         t2 = time.process_time()
-        out = Round(rec=rec, now=st >> constants.LOGICAL_BITS, most=constants.TURN_EVENTS).run()
+        out = Round(rec=rec, now=st >> constants.LOGICAL_BITS, most=constants.BATCH_EVENTS_MAX).run()
         t2 = (time.process_time() - t2) * 1000
     return {
         "ms a round": t,
--- a/hollowhall/tools/measure/sick_fleet.py
+++ b/hollowhall/tools/measure/sick_fleet.py
@@ -34,8 +34,8 @@
 
     def __init__(self, *, rows):
         self.record, self.t, self.said, self.queue, self.windows = Record(), 1.0, [], [], {}
-        self.params = Bag(far_times=2.0, hold_ms=HOLD_MS, margin_ms=300)
-        self.seam, self.work = Bag(now=lambda: self.t, spend=lambda s: 0.0), Bag(set=lambda: None)
+        self.settings = Bag(far_times=2.0, hold_ms=HOLD_MS, margin_ms=300)
+        self.runtime, self.work = Bag(now=lambda: self.t, spend=lambda s: 0.0), Bag(set=lambda: None)
         self.epoch, self.sessions, self.judged, self.leaving = 1, {}, {}, False
         self.open_pace()
         self.open_place()
@@ -71,7 +71,7 @@
     def turn(self):
         items, self.queue = self.queue, []
         evs = [ev for ev, _ in items]
-        evs += self.place_all(most=constants.TURN_EVENTS, ends=[e[1] for e in evs if e[0] == "end"])
+        evs += self.place_all(most=constants.BATCH_EVENTS_MAX, ends=[e[1] for e in evs if e[0] == "end"])
         if not evs:
             return
         ms = self.clock_ms()
@@ -240,6 +240,6 @@
                 v = d.hear(w.report())
                 if v is not None:
                     w.order(v)
-        if int(d.t / TICK + 0.5) % int(constants.PEEK_BACK / TICK) == 0:
+        if int(d.t / TICK + 0.5) % int(constants.ENDED_JOBS_CHECK_PERIOD / TICK) == 0:
             d.look_after(now=d.t, ms=d.clock_ms())
         d.turn()
--- a/hollowhall/tools/operate/commands.py
+++ b/hollowhall/tools/operate/commands.py
@@ -56,7 +56,7 @@
         try:
             result = asyncio.run(go())
         except Raised as e:
-            self.line_error(e.problem.errors[0][1])
+            self.line_error(e.failure.errors[0][1])
             raise SystemExit(2) from None
         if isinstance(result, Failure):
             self.line_error(f"no answer from the mast: {type(result).__name__}")
--- a/hollowhall/tools/operate/restore.py
+++ b/hollowhall/tools/operate/restore.py
@@ -36,39 +36,39 @@
     return record, membership
 
 
-async def restore(*, disk, params, write):
+async def restore(*, disk, settings, write):
     """Summarizes what is on the disk; with `write`, makes its member the only one. Raises Raised(Refused) if the
     disk is not that of a voting member."""
-    log = Ring(disk=disk, files=params.ring_files, size=params.ring_bytes)
+    log = Ring(disk=disk, files=settings.ring_files, size=settings.ring_bytes)
     hard, snapshot, entries = log.load()
     if not hard.get("m"):
         raise Raised(Refused(why="this disk holds no member that counts"))
     record, membership = replay(snapshot, entries)
     membership = membership or {
         "v": 0,
-        "voters": sorted({*params.seeds, params.addr}),
+        "voters": sorted({*settings.seeds, settings.addr}),
         "learner": "",
         "out": "",
         "past": [],
     }
-    if params.addr not in membership["voters"]:
+    if settings.addr not in membership["voters"]:
         raise Raised(Refused(why="this disk's member was not among those that count"))
     others = [
-        addr for addr in (*membership["voters"], membership["learner"]) if addr not in ("", params.addr)
+        addr for addr in (*membership["voters"], membership["learner"]) if addr not in ("", settings.addr)
     ]
     last = entries[-1][0] if entries else snapshot["i"] if snapshot else 0
     states = [job.state for job in record.jobs.values()]
     if write:
         sole_member = membership | {
             "v": membership["v"] + 1,
-            "voters": [params.addr],
+            "voters": [settings.addr],
             "learner": "",
             "out": "",
             "past": sorted({*membership["past"], *others}),
         }
         term = hard["t"] + 1
         await log.put(
-            hard={"t": term, "v": params.addr, "m": True},
+            hard={"t": term, "v": settings.addr, "m": True},
             es=[[last + 1, term, pack(["members", sole_member])]],
         )
     return {
@@ -102,13 +102,13 @@
             if asyncio.run(probe(addr=params.bind or params.addr, op="status", request={}, wait=1.0)).ok:
                 raise Raised(Refused(why=f"an almanac answers at {params.addr}: end it first"))
             found = asyncio.run(
-                restore(disk=Disk(folder=params.data), params=params, write=self.option("yes"))
+                restore(disk=Disk(folder=params.data), settings=params, write=self.option("yes"))
             )
         except Raised as error:
-            for key, why in getattr(error.problem, "errors", ()):
+            for key, why in getattr(error.failure, "errors", ()):
                 self.line_error(f"params: {key}: {why}")
-            self.line_error(repr(error.problem))
-            return 3 if isinstance(error.problem, DiskDamage) else 2
+            self.line_error(repr(error.failure))
+            return 3 if isinstance(error.failure, DiskDamage) else 2
         self.line(json.dumps(found))
         newest = datetime.fromtimestamp(found["stampMs"] / 1000, UTC).isoformat()
         self.line(
--- a/hollowhall/tools/plan/ahead.py
+++ b/hollowhall/tools/plan/ahead.py
@@ -128,7 +128,7 @@
     def run_batch(self):
         """Starts what can start now. Returns (time at which more may start or None, whether the batch was full)."""
         placement_round = Round(
-            rec=self.record, now=self.clock_ms, most=constants.TURN_EVENTS, kept=self.kept
+            rec=self.record, now=self.clock_ms, most=constants.BATCH_EVENTS_MAX, kept=self.kept
         )
         self.reserving = plan_of(rec=self.record, ms=self.clock_ms, have=self.reserving)
         placement_round.open_plan(self.reserving)
@@ -141,7 +141,7 @@
                 figures["started"] += 1
                 figures["waits"].append(max(0, self.clock_ms - since))
                 self.schedule_end(attempt=attempt, ms=self.draw_duration(attempt=attempt))
-        return placement_round.due, len(placement_round.out) >= constants.TURN_EVENTS
+        return placement_round.due, len(placement_round.out) >= constants.BATCH_EVENTS_MAX
 
     def count_room(self, ms):
         """Adds `ms` of the present load to each worker's busy time."""
--- a/hollowhall/tools/plan/change.py
+++ b/hollowhall/tools/plan/change.py
@@ -41,7 +41,7 @@
     try:
         return Change(**ChangeSchema().load(content))
     except ValidationError as error:
-        raise Raised(BadInput(errors=flat(e=error.messages))) from None
+        raise Raised(BadInput(errors=flat(messages=error.messages))) from None
 
 
 def read_picture(picture):
--- a/hollowhall/tools/plan/plan.py
+++ b/hollowhall/tools/plan/plan.py
@@ -219,8 +219,8 @@
                 return 0
             out = plan(picture=picture, change=self.change(picture), placements=self.placements())
         except Raised as error:
-            self.line_error(repr(error.problem))
-            return 3 if isinstance(error.problem, StaleBase) else 2
+            self.line_error(repr(error.failure))
+            return 3 if isinstance(error.failure, StaleBase) else 2
         if self.option("json"):
             self.line(json.dumps(out))
             return 0
--- a/hollowhall/tools/plan/solve_file.py
+++ b/hollowhall/tools/plan/solve_file.py
@@ -136,7 +136,7 @@
     try:
         loaded = PlacementProblemSchema().load(content)
     except ValidationError as error:
-        raise Raised(BadInput(errors=flat(e=error.messages))) from None
+        raise Raised(BadInput(errors=flat(messages=error.messages))) from None
     hosts, groups = loaded.get("workers", []), loaded.get("groups", [])
     if record is not None and not hosts:
         hosts = [
--- a/hollowhall/tools/run.py
+++ b/hollowhall/tools/run.py
@@ -14,7 +14,7 @@
 from ..base import log_events
 from ..base import params as P
 from ..base.problems import DiskDamage, Raised
-from ..base.seam import Seam
+from ..base.seam import Runtime
 from ..desk import Desk
 from ..hall import Hall
 from ..mast import Mast
@@ -56,11 +56,11 @@
     return 2
 
 
-async def serve(command, role, params):
+async def serve(command, role, settings):
     """Runs a daemon until it ends; returns the exit code: 0 after a shutdown, 1 after a failure, 3 if its data is
     damaged."""
-    folder = params.data if role in ("almanac", "hall") else None
-    daemon = ROLES[role](params=params, seam=Seam(folder=folder))
+    folder = settings.data if role in ("almanac", "hall") else None
+    daemon = ROLES[role](settings=settings, runtime=Runtime(folder=folder))
     loop, leaving, started = asyncio.get_running_loop(), [], asyncio.Event()
 
     def leave():
@@ -74,10 +74,10 @@
 
     def reload_params():
         try:
-            daemon.take_params(read_flags(command, role))
-            set_log_level(params.log)
+            daemon.apply_settings(read_flags(command, role))
+            set_log_level(settings.log)
         except Raised as error:
-            daemon.say(log_events.PARAMS_KEPT, errors=error.problem.errors)
+            daemon.say(log_events.PARAMS_KEPT, errors=error.failure.errors)
 
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, leave)
@@ -86,10 +86,10 @@
         await daemon.start()
         started.set()
     except Raised as error:
-        command.line_error(repr(error.problem))
-        return 3 if isinstance(error.problem, DiskDamage) else 1
+        command.line_error(repr(error.failure))
+        return 3 if isinstance(error.failure, DiskDamage) else 1
     except OSError as error:
-        command.line_error(f"{params.addr}: {error.strerror}")
+        command.line_error(f"{settings.addr}: {error.strerror}")
         return 1
     await daemon.ended.wait()
     await daemon.stop()
@@ -117,7 +117,7 @@
         try:
             params = read_flags(self, self.name)
         except Raised as e:
-            return report_errors(self, e.problem)
+            return report_errors(self, e.failure)
         logbook.set_datetime_format("utc")
         set_log_level(params.log)
         LOG_HANDLER.push_application()
--- a/hollowhall/tools/scale/__init__.py
+++ b/hollowhall/tools/scale/__init__.py
@@ -67,7 +67,7 @@
             self.show(p=p, rows=rows)
             return 1 if why else 0
         except Raised as e:
-            self.line_error(json.dumps(to_json(e.problem)))
+            self.line_error(json.dumps(to_json(e.failure)))
             return 2
 
     def show(self, *, p, rows):
--- a/hollowhall/tools/scale/counted.py
+++ b/hollowhall/tools/scale/counted.py
@@ -111,7 +111,7 @@
 
 
 def on_counts(self, *, request, callback, caller):
-    callback(Success(value=COUNTS | moment() | duty(self) | {"lag": self.lag}))
+    callback(Success(value=COUNTS | moment() | duty(self) | {"lag": self.loop_lag}))
 
 
 def main():
--- a/hollowhall/tools/scale/hollow.py
+++ b/hollowhall/tools/scale/hollow.py
@@ -12,7 +12,7 @@
 import time
 
 from ...base.params import check
-from ...base.seam import Seam
+from ...base.seam import Runtime
 from ...mast import Mast
 from . import sizes as S
 from .callers import Caller
@@ -37,7 +37,7 @@
     count_bytes()
     count_frames()
     for c in d["cards"]:
-        m = Mast(params=check(c), seam=Seam())
+        m = Mast(settings=check(c), runtime=Runtime())
         await m.start()
         KEPT.add(m)
     return lambda: dict(COUNTS)
--- a/hollowhall/tools/scale/ramp.py
+++ b/hollowhall/tools/scale/ramp.py
@@ -91,7 +91,7 @@
                 for size in self.plan.sizes:
                     await self.one_size(size)
             except Raised as e:
-                self.why = repr(e.problem)
+                self.why = repr(e.failure)
             finally:
                 await self.d.stop()
         return self.rows, self.why
--- a/hollowhall/tools/scale/sizes.py
+++ b/hollowhall/tools/scale/sizes.py
@@ -130,7 +130,7 @@
     try:
         p = PlanSchema().load(d)
     except ValidationError as e:
-        raise Raised(BadInput(errors=flat(e=e.messages))) from None
+        raise Raised(BadInput(errors=flat(messages=e.messages))) from None
     n = processes(plan=p, load=p.load(p.sizes[-1]))
     if n > PROCESSES_MOST:
         raise Raised(BadInput(errors=[["sizes", f"{n} processes, more than {PROCESSES_MOST}"]]))
--- a/hollowhall/tools/scale/virtual.py
+++ b/hollowhall/tools/scale/virtual.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from ...base import constants
-from ...base.circuit import ASK, pack, unpack
+from ...base.circuit import REQUEST_FRAME, pack, unpack
 from ...base.problems import Late, Raised
 from ...sim.net import SimWeb
 from ...sim.wire import SimWire
@@ -44,7 +44,7 @@
             d[way + "_n"] += 1
             d[way + "_b"] += len(b) + 4
         m = unpack(b)
-        if isinstance(m, list) and m[0] == ASK:
+        if isinstance(m, list) and m[0] == REQUEST_FRAME:
             d = self.ops.setdefault(m[3], {"n": 0, "b": 0})
             d["n"], d["b"] = d["n"] + 1, d["b"] + len(b) + 4
 
@@ -147,7 +147,7 @@
         op = self.caller("op")
         if not await op.found(rows=S.lanes()):
             raise Raised(Late(op="start"))
-        while self.primary() is None or self.primary().record.level < constants.LEVEL_USUAL:
+        while self.primary() is None or self.primary().record.level < constants.LEVEL_DEFAULT:
             await asyncio.sleep(0.2)  # what begins under an older format is packed otherwise
         tasks = list(self.crew())
         await c.stand(tasks=x.running)
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -116,7 +116,7 @@
         node.http, node.cost = [], self.step_s
         settings = boot.SETTINGS.load(self.settings[name])
         daemon, listeners = serve.make(
-            role=self.cards[name]["role"], d=settings, seam=SimSeam(world=self, node=node)
+            role=self.cards[name]["role"], d=settings, runtime=SimSeam(world=self, node=node)
         )
         node.daemon, self.nodes[name] = daemon, node
         self.settings[name]["bootstrap"] = False
--- a/tests/reserved_world.py
+++ b/tests/reserved_world.py
@@ -86,13 +86,13 @@
     steps=None,
     build=None,
     end=CLOSE + 6,
-    params=None,
+    settings=None,
     begin=OPEN,
     crowded=True,
     body=None,
 ):
     """One run. steps: a coroutine that gets the world and an operator and runs beside the load."""
-    world = World(seed=seed, shape=FLEET, build=build or weak.REAL, params={"level": 3} | (params or {}))
+    world = World(seed=seed, shape=FLEET, build=build or weak.REAL, settings={"level": 3} | (settings or {}))
     world.run_on = 10**6  # no worker keeps running attempts while it is partitioned
     answers = world.got = {}
 
@@ -105,7 +105,7 @@
         )
         await operator.found(lanes=LANES)
         world.add_crew()
-        world.hist.note("share", percent=(params or {}).get("reserved_percent", 50))
+        world.hist.note("share", percent=(settings or {}).get("reserved_percent", 50))
         await asyncio.sleep(5 - world.loop.vt)
         if reserved:
             answers["answer"] = await operator.reserve(name="r", body=body or USUAL_BODY)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -7,7 +7,7 @@
 
 from hollowhall.base import constants, log_events
 from hollowhall.base import problems as P
-from hollowhall.base.slab import Slab
+from hollowhall.base.slab import PendingRequests
 from hollowhall.mast.admission import AdmissionMixin, charge_of
 from hollowhall.mast.gauges import Gauges
 
@@ -28,7 +28,7 @@
         (spec(STEP | {"tasks": 1, "estimateMs": 0}), [4000, 0, 0], 250),
         (spec(STEP | {"tasks": 1, "forever": True}), [40000, 0, 0], 125),
         (spec(STEP | {"tasks": 1}, standing=True), [40000, 0, 0], 125),
-        (spec(STEP | {"tasks": 4000}), [4000, 0, 0], constants.CHARGE_MOST),
+        (spec(STEP | {"tasks": 4000}), [4000, 0, 0], constants.CHARGE_MAX),
         (spec(STEP | {"room": [1, 0, 0]}), [1 << 40, 0, 0], 1),
         (spec(), [0, 0, 0], 0),
         (spec(), [0, 0, 8], 1),
@@ -47,7 +47,7 @@
         return self.at
 
 
-class Link:
+class RpcClient:
     """The connection to the primary; the test gives the answers to refills."""
 
     def __init__(self):
@@ -62,18 +62,23 @@
     """A gateway's admission control, with clock and connection of the test; its tasks don't run."""
 
     def __init__(self, **limits):
-        self.seam, self.gauges, self.slab, self.link = Clock(), Gauges(), Slab(cap=9), Link()
+        self.runtime, self.gauges, self.pending_requests, self.link = (
+            Clock(),
+            Gauges(),
+            PendingRequests(capacity=9),
+            RpcClient(),
+        )
         rows = {name: {"cores": cores, "memMb": 0, "gpus": 0} for name, cores in limits.items()}
         self.charter, self.primary, self.logged = {"tenants": rows}, "p", []
         self.buckets, self.life, self.refill_seq, self.refill_answered = {}, "e1/a", 0, 0
-        self.refilled_at, self.refill_wanted, self.sent = self.seam.at, asyncio.Event(), []
+        self.refilled_at, self.refill_wanted, self.sent = self.runtime.at, asyncio.Event(), []
         self.last_refill_ok = True
 
     def tenants_configured(self):
         return self.charter.get("tenants") is not None
 
-    def run_task(self, *, co, name):
-        co.close()
+    def run_task(self, *, coroutine, name):
+        coroutine.close()
 
     def way(self, *, op, addr):
         return self.link
@@ -96,7 +101,7 @@
 
 def test_a_new_tenant_s_first_job_is_let_in_and_paid_for_later():
     edge = Edge(t=4000)
-    assert edge.take().value == 500 and edge.buckets["t"].tokens == -constants.BUCKET_FIRST
+    assert edge.take().value == 500 and edge.buckets["t"].tokens == -constants.NEW_BUCKET_DEBT_MAX
     assert isinstance(edge.take(), P.Throttled)
     edge.grants(500)
     assert not edge.take().ok
@@ -122,9 +127,9 @@
     edge = Edge(t=4000)
     edge.take()
     edge.grants(5000)
-    edge.seam.at += constants.LOAN_S - 0.1
+    edge.runtime.at += constants.LOAN_TERM - 0.1
     assert edge.take().ok
-    edge.seam.at += 0.2
+    edge.runtime.at += 0.2
     refusal = edge.take()
     assert isinstance(refusal, P.BudgetUnknown) and refusal.status == 503
 
@@ -198,7 +203,7 @@
     edge.charter = {"tenants": {"t": edge.charter["tenants"]["t"]}}
     edge.drop_idle_buckets()
     assert edge.buckets.keys() == {"t"}
-    edge.seam.at += constants.LOAN_S + 0.1
+    edge.runtime.at += constants.LOAN_TERM + 0.1
     edge.drop_idle_buckets()
     assert edge.buckets == {}
 
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -20,12 +20,16 @@
     """Starts at its own wall clock and ignores the saved bound."""
 
     async def estimate_now(self):
-        return self.seam.wall()
+        return self.runtime.wall()
 
     async def clock_sync(self, leadership):
         ms = await self.estimate_now()
-        leadership.anchor = (ms, self.seam.now())
-        leadership.saved_bound, leadership.physical, leadership.synced = ms + constants.SAVE_MS, ms, True
+        leadership.anchor = (ms, self.runtime.now())
+        leadership.saved_bound, leadership.physical, leadership.synced = (
+            ms + constants.BOUND_AHEAD_MS,
+            ms,
+            True,
+        )
         return True
 
 
--- a/tests/test_control_answers.py
+++ b/tests/test_control_answers.py
@@ -10,10 +10,10 @@
 from test_level_two import made, step
 
 from hollowhall.almanac.serve import ServeMixin
-from hollowhall.base.circuit import Circuit, check_hello, pack, unpack
+from hollowhall.base.circuit import RpcConnection, hello_failure, pack, unpack
 from hollowhall.base.doors import Call
 from hollowhall.base.problems import Late, Mismatch, NotLeader, StaleBase, Success, Unsure
-from hollowhall.base.slab import Slab
+from hollowhall.base.slab import PendingRequests
 from hollowhall.desk.worker_session import WorkerSession
 from hollowhall.record import Record
 from hollowhall.record.kinds import LEAVES
@@ -38,7 +38,7 @@
     def propose(self, *, request, callback):
         callback(self.record.edit(unpack(request)[1]))
 
-    def ask(self, body):
+    def send_request(self, body):
         answers = []
         self.on_edit(request=body, callback=answers.append, caller="operator")
         return answers[0]
@@ -48,7 +48,7 @@
 def test_a_change_that_is_remembered_is_confirmed_again(changes):
     store = Store(changes)
     for number in range(changes):
-        assert store.ask(edit(3 * number + 3, 3 * number, f"m{number}")).ok
+        assert store.send_request(edit(3 * number + 3, 3 * number, f"m{number}")).ok
 
 
 def test_versions_that_rise_unevenly_are_forgotten_in_the_order_they_were_taken():
@@ -57,7 +57,7 @@
     taken, newest = [], 0
     for number in range(300):
         version = newest + 1 + (number * number) % 97
-        assert store.ask(edit(version, newest, f"m{number}")).ok
+        assert store.send_request(edit(version, newest, f"m{number}")).ok
         taken.append(version)
         newest = version
     assert sorted(store.record.taken) == taken[-200:]
@@ -66,17 +66,19 @@
 def test_a_change_beyond_what_is_remembered_is_left_unclear_and_never_refused():
     store = Store(300)
     for number in (0, 50, 99):
-        assert isinstance(store.ask(edit(3 * number + 3, 3 * number, f"m{number}")), Unsure)
-    assert isinstance(store.ask(edit(3 * 250 + 4, 3 * 250, "other")), StaleBase)  # certainly not taken
-    assert store.ask(edit(3 * 250 + 3, 3 * 250, "m250")).ok
+        assert isinstance(store.send_request(edit(3 * number + 3, 3 * number, f"m{number}")), Unsure)
+    assert isinstance(
+        store.send_request(edit(3 * 250 + 4, 3 * 250, "other")), StaleBase
+    )  # certainly not taken
+    assert store.send_request(edit(3 * 250 + 3, 3 * 250, "m250")).ok
 
 
 def test_the_bare_mark_of_a_patch_is_left_unclear_alike():
     store = Store(300)
-    assert isinstance(store.ask(edit(3, -1, "m0")), Unsure)
-    assert store.ask(edit(900, -1, "m299")).ok
-    assert isinstance(store.ask(edit(899, -1, "none")), StaleBase)
-    assert isinstance(store.ask(edit(0, -1, "none")), StaleBase)
+    assert isinstance(store.send_request(edit(3, -1, "m0")), Unsure)
+    assert store.send_request(edit(900, -1, "m299")).ok
+    assert isinstance(store.send_request(edit(899, -1, "none")), StaleBase)
+    assert isinstance(store.send_request(edit(0, -1, "none")), StaleBase)
 
 
 # --- reads that fail
@@ -123,7 +125,7 @@
     desk.open_turns()
     desk.record.do(["grant", "j/0.0/0", "w0"])
     desk.sessions = {"w0": WorkerSession(boot="1", named=True, seq=5, running={1})}
-    desk.beat_slab = Slab(cap=8)
+    desk.beat_slab = PendingRequests(capacity=8)
     return desk
 
 
@@ -184,16 +186,16 @@
 
 
 def host():
-    return SimpleNamespace(params=SimpleNamespace(cluster="hollowhall"))
+    return SimpleNamespace(settings=SimpleNamespace(cluster="hollowhall"))
 
 
 def test_a_peer_at_another_address_is_not_taken_for_the_one_that_was_dialled():
     greeting = {"v": 1, "cluster": "hollowhall", "id": "x", "addr": "10.0.0.9:7000"}
-    problem = check_hello(host=host(), m=pack(greeting), addr="10.0.0.1:7000")
+    problem = hello_failure(host=host(), m=pack(greeting), addr="10.0.0.1:7000")
     assert isinstance(problem, Mismatch) and problem.field == "addr"
-    assert check_hello(host=host(), m=pack(greeting), addr="10.0.0.9:7000") is None
+    assert hello_failure(host=host(), m=pack(greeting), addr="10.0.0.9:7000") is None
     del greeting["addr"]  # an older version
-    assert check_hello(host=host(), m=pack(greeting), addr="10.0.0.1:7000") is None
+    assert hello_failure(host=host(), m=pack(greeting), addr="10.0.0.1:7000") is None
 
 
 class Wire:
@@ -216,14 +218,14 @@
 
     async def go():
         circuit = circuit_class(
-            wire=Wire(), host=SimpleNamespace(seam=SimpleNamespace(now=lambda: 0.0)), peer="p"
+            wire=Wire(), host=SimpleNamespace(runtime=SimpleNamespace(now=lambda: 0.0)), peer="p"
         )
         first, second = [], []
-        slot = circuit.ask(op="a", request={}, callback=first.append, wait=9)
+        slot = circuit.send_request(op="a", request={}, callback=first.append, wait=9)
         circuit.lapse(slot, "a")
-        circuit.ask(op="b", request={}, callback=second.append, wait=9)
+        circuit.send_request(op="b", request={}, callback=second.append, wait=9)
         _, index, generation, _, _ = circuit.wire.sent[0]
-        answer = circuit.slab.take(i=index, g=generation)
+        answer = circuit.pending_requests.take(index=index, generation=generation)
         if answer is not None:
             answer(Success(value="of a"))
         return first, second
@@ -232,23 +234,23 @@
 
 
 def test_a_late_answer_finds_nobody():
-    first, second = late_answer(Circuit)
+    first, second = late_answer(RpcConnection)
     assert isinstance(first[0], Late) and len(first) == 1 and second == []
 
 
-class ByPosition(Slab):
+class ByPosition(PendingRequests):
     """A faulty version without generations: an answer is matched by its slot's position alone."""
 
-    def take(self, *, i, g):
-        return super().take(i=i, g=self.gens[i])
+    def take(self, *, index, generation):
+        return super().take(index=index, generation=self.generations[index])
 
 
-class CircuitByPosition(Circuit):
+class CircuitByPosition(RpcConnection):
     """An RPC connection with the faulty slots."""
 
     def __init__(self, **more):
         super().__init__(**more)
-        self.slab = ByPosition(cap=8)
+        self.pending_requests = ByPosition(cap=8)
 
 
 def test_an_answer_matched_by_position_reaches_the_wrong_caller():
--- a/tests/test_control_power.py
+++ b/tests/test_control_power.py
@@ -5,7 +5,7 @@
 import os
 
 import pytest
-from test_hall import Halls, up
+from test_hall import ControllerWorld, all_members_up
 
 from hollowhall.base.seam import Disk
 
@@ -57,13 +57,13 @@
 
 
 def test_one_of_an_even_number_is_taken_out_before_it_ends():
-    world = Halls(seed=4, n=3)
+    world = ControllerWorld(seed=4, n=3)
 
     async def go():
         world.start_all()
-        await world.until(up(world, 3))
+        await world.until(all_members_up(world, 3))
         await world.until(lambda: all(hall.store.conf["v"] >= 1 for hall in world.halls()))
-        world.add_hall(9)
+        world.add_controller(9)
         world.start("hall-9")
         await world.until(lambda: all(len(hall.store.voters) == 4 for hall in world.halls()))
         old, lost = [name for name in sorted(world.nodes) if name.startswith("hall") and name != "hall-9"][:2]
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -46,7 +46,7 @@
         for _ in range(300):
             for lane, count in (("hail", urgent), ("tiles", usual)):
                 for _ in range(count):
-                    gateway.cut, gateway.cut_at = cut, gateway.seam.now()
+                    gateway.cut, gateway.cut_at = cut, gateway.runtime.now()
                     admitted[lane] += not gateway.crowded(lane=lane, s=None)
 
     world.run(go())
@@ -158,7 +158,7 @@
         await start()
         gateway = world.nodes["mast-1"].daemon
         gateway.shed_f = 30.0
-        gateway.params.shed_at = 0.001
+        gateway.settings.shed_at = 0.001
         for _n in range(20):
             gateway.take(
                 call=__import__("hollowhall.mast", fromlist=["Call"]).Call(method="GET", path="/v1/jobs/x"),
--- a/tests/test_desk_edges.py
+++ b/tests/test_desk_edges.py
@@ -32,8 +32,8 @@
     """A primary over a record, without a store, a clock or a network."""
 
     def __init__(self, rec):
-        self.record, self.seam = rec, Bag(now=lambda: 1.0)
-        self.params = Bag(hold_ms=3600, margin_ms=322)
+        self.record, self.runtime = rec, Bag(now=lambda: 1.0)
+        self.settings = Bag(hold_ms=3600, margin_ms=322)
         self.epoch, self.leaving, self.until = 1, False, 99.0
 
     def live(self):
--- a/tests/test_door_shut.py
+++ b/tests/test_door_shut.py
@@ -3,8 +3,8 @@
 
 import asyncio
 
-from hollowhall.base.doors import Door, Reply
-from hollowhall.base.seam import Seam
+from hollowhall.base.doors import HttpListener, Reply
+from hollowhall.base.seam import Runtime
 
 REQ = b"POST /q/0123456789abcdef HTTP/1.1\r\nHost: h\r\nContent-Length: 3000\r\n\r\n"
 
@@ -15,11 +15,11 @@
             callback(Reply(status=503, body={"len": len(call.body)}))
             return lambda: None
 
-        listener = Door(
-            seam=Seam(),
+        listener = HttpListener(
+            runtime=Runtime(),
             addr="127.0.0.1:0",
-            take=take,
-            most=1 << 20,
+            handler=take,
+            max_body_bytes=1 << 20,
             too_large=lambda n: Reply(status=413, body={}),
             full=lambda where: Reply(status=503, body={}),
         )
@@ -28,10 +28,10 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         idle_reader, idle_writer = await asyncio.open_connection("127.0.0.1", port)  # idle, kept alive
         writer.write(REQ + b"x" * 1000)
-        while not listener.inside:
+        while not listener.requests_in_progress:
             await asyncio.sleep(0)
-        closing = asyncio.ensure_future(listener.shut())
-        while not listener.shutting:
+        closing = asyncio.ensure_future(listener.close())
+        while not listener.shutting_down:
             await asyncio.sleep(0)
         writer.write(b"x" * 2000)  # the other two segments
         try:
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -63,7 +63,7 @@
     bad = SMALL.replace("per_s = 1.0", "per_s = -1.0").replace("gang = 1.0", "gang = 7.0")
     with pytest.raises(Raised) as e:
         small(tmp_path, bad + FAULT.format("nonsense"))
-    assert {x[0] for x in e.value.problem.errors} >= {"queues.0.per_s", "queues.1.gang", "faults.0.kind"}
+    assert {x[0] for x in e.value.failure.errors} >= {"queues.0.per_s", "queues.1.gang", "faults.0.kind"}
 
 
 @pytest.mark.parametrize("text", ["name = ", SMALL + '\n[[faults]]\nkind="burst"\nat=1.0\nqueue="none"\n'])
@@ -114,7 +114,7 @@
     assert DEFAULT.off() == [] and set(read_policy(off=NAMES).off()) == set(NAMES)
     with pytest.raises(Raised) as e:
         read_policy(off="preemtion")
-    assert "preemption" in e.value.problem.errors[0][1]
+    assert "preemption" in e.value.failure.errors[0][1]
 
 
 @pytest.mark.parametrize("name", NAMES)
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -25,7 +25,7 @@
         self.record.do(*evs, ms=ms)
 
     def lines(self):
-        events = {event.no: event for event in log_events.ALL.values()}
+        events = {event.number: event for event in log_events.ALL.values()}
         return [
             f"12:00:00 desk HH{number} {events[number].text} | "
             + " ".join(f"{key}={value}" for key, value in fields.items())
@@ -38,19 +38,23 @@
     """A scheduler that traced one job, which ended after `took` ms; its aim is 800 ms."""
     desk = Desk(made(steps=[step(estimateMs=400, maxFailures=1, **kw)], rows={"q": ROW}))
     desk.traced_ms = 1000
-    desk.trace_waits(ms=1000 + constants.TRACE_LOOK_MS)
+    desk.trace_waits(ms=1000 + constants.TRACE_CHECK_PERIOD_MS)
     desk.do(["grant", "j/0.0/0", "w0"], ms=200)
     desk.do(["end", runs(desk.record)[0], how, ""], ms=took)
     desk.trace_waits(ms=1000 + took)
     desk.traced_ms = 900 + took
-    desk.trace_waits(ms=1000 + took + constants.TRACE_LOOK_MS)
+    desk.trace_waits(ms=1000 + took + constants.TRACE_CHECK_PERIOD_MS)
     return desk
 
 
 def test_a_late_job_leaves_a_line_with_what_it_waited_for():
     (job,) = [row for row in map(read_line, traced().lines()) if hasattr(row, "name")]
     assert (job.name, job.verdict, job.took_ms, job.aim_ms) == ("j", "late", 2000, 800)
-    assert job.waits == {"turn": constants.TRACE_LOOK_MS} and job.starts == 1 and job.first_start_ms == 200
+    assert (
+        job.waits == {"turn": constants.TRACE_CHECK_PERIOD_MS}
+        and job.starts == 1
+        and job.first_start_ms == 200
+    )
 
 
 def test_a_job_in_its_aim_leaves_none_but_counts():
@@ -73,7 +77,7 @@
 def test_a_job_cancelled_before_it_began_is_forgotten():
     desk = Desk(made(steps=[step()], rows={"q": ROW}))
     desk.traced_ms = 1000
-    desk.trace_waits(ms=1000 + constants.TRACE_LOOK_MS)
+    desk.trace_waits(ms=1000 + constants.TRACE_CHECK_PERIOD_MS)
     assert list(desk.traces) == ["j"]
     desk.do(["cancel", "j"], ms=300)
     desk.trace_waits(ms=1500)
@@ -81,7 +85,7 @@
 
 
 def test_the_memory_of_the_trace_is_bounded(monkeypatch):
-    monkeypatch.setattr(constants, "TRACES_MOST", 0)
+    monkeypatch.setattr(constants, "TRACED_JOBS_MAX", 0)
     desk = Desk(made(steps=[step()]))
     desk.do(["grant", "j/0.0/0", "w0"], ms=200)
     assert not desk.traces
--- a/tests/test_going.py
+++ b/tests/test_going.py
@@ -14,7 +14,7 @@
     """The handling of heartbeats over a record, as primary."""
 
     def __init__(self, record):
-        self.record, self.seam, self.params = record, Bag(now=lambda: 1.0), Bag(hold_ms=3600)
+        self.record, self.runtime, self.settings = record, Bag(now=lambda: 1.0), Bag(hold_ms=3600)
         self.epoch = 1
 
     def live(self):
--- a/tests/test_hall.py
+++ b/tests/test_hall.py
@@ -17,10 +17,10 @@
 INNER = (7000, 7001)
 
 
-class Halls(World):
+class ControllerWorld(World):
     """A simulated cluster of n controllers, of which the first three bootstrap, and a gateway."""
 
-    def __init__(self, *, seed, n=5, **kw):
+    def __init__(self, *, seed, count=5, **kw):
         super().__init__(
             seed=seed,
             shape=SHAPES["cymylau"],
@@ -28,14 +28,14 @@
             desks=0,
             masts=1,
             build=ROLES | {"hall": Hall, "mast": Mast},
-            params={"auto_members": True},
+            settings={"auto_members": True},
         )
-        self.seeds = [f"10.0.0.{index + 1}:7000" for index in range(min(3, n))]
+        self.seeds = [f"10.0.0.{index + 1}:7000" for index in range(min(3, count))]
         self.cards["mast-1"]["seeds"] = list(self.seeds)
-        for index in range(n):
-            self.add_hall(index + 1, found=index < 3)
+        for index in range(count):
+            self.add_controller(index + 1, found=index < 3)
 
-    def add_hall(self, number, *, found=False):
+    def add_controller(self, number, *, found=False):
         name, addr = f"hall-{number}", f"10.0.0.{number}:7000"
         self.add_card(
             name,
@@ -73,20 +73,20 @@
         return self.loop.vt - start
 
 
-def up(world, n=5):
+def all_members_up(world, count=5):
     return lambda: (
         len(world.primary()) == 1
-        and all(len(hall.store.voters) == n and not hall.store.blank for hall in world.halls())
+        and all(len(hall.store.voters) == count and not hall.store.blank for hall in world.halls())
     )
 
 
 @pytest.mark.parametrize("count", [3, 5])
 def test_three_bootstrap_and_the_others_join(count):
-    world = Halls(seed=count, n=count)
+    world = ControllerWorld(seed=count, n=count)
 
     async def go():
         world.start_all()
-        await world.until(up(world, count))
+        await world.until(all_members_up(world, count))
         (primary,) = world.primary()
         assert primary.store.rank == LEADER  # the primary scheduler is beside the store's leader
         await world.until(
@@ -98,11 +98,11 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_all_killed_at_once_have_a_primary_within_two_seconds(seed):
-    world = Halls(seed=seed)
+    world = ControllerWorld(seed=seed)
 
     async def go():
         world.start_all()
-        await world.until(up(world))
+        await world.until(all_members_up(world))
         await asyncio.sleep(3)
         for name in list(world.nodes):
             world.kill(name)
@@ -115,11 +115,11 @@
 
 @pytest.mark.parametrize("count, leader", [(3, True), (3, False), (5, True)])
 def test_a_lost_member_is_replaced_by_an_empty_one(count, leader):
-    world = Halls(seed=7 + count, n=count)
+    world = ControllerWorld(seed=7 + count, n=count)
 
     async def go():
         world.start_all()
-        await world.until(up(world, count))
+        await world.until(all_members_up(world, count))
         gone = next(
             name
             for name in world.nodes
@@ -127,7 +127,7 @@
         )
         world.power_off(world.cards[gone]["machine"])
         await asyncio.sleep(2)
-        world.add_hall(9)
+        world.add_controller(9)
         world.start("hall-9")
         await world.until(
             lambda: (
@@ -145,11 +145,11 @@
 
 
 def test_an_empty_replica_of_a_known_member_votes_only_above_its_minimum_term():
-    world = Halls(seed=3, n=3)
+    world = ControllerWorld(seed=3, n=3)
 
     async def go():
         world.start_all()
-        await world.until(up(world, 3))
+        await world.until(all_members_up(world, 3))
         await world.until(lambda: all(hall.store.conf["v"] >= 1 for hall in world.halls()))
         name = next(
             other
@@ -169,11 +169,11 @@
 
 
 def test_a_member_that_is_cut_off_answers_no_polls():
-    world = Halls(seed=4, n=3)
+    world = ControllerWorld(seed=4, n=3)
 
     async def go():
         world.start_all()
-        await world.until(up(world, 3))
+        await world.until(all_members_up(world, 3))
         name = next(
             other
             for other in world.nodes
@@ -184,7 +184,7 @@
         for other_machine in ("core-1", "core-2", "core-3"):
             if other_machine != machine:
                 world.net.cut(machine, other_machine)
-        await asyncio.sleep(constants.TOUCH + 0.4)
+        await asyncio.sleep(constants.LEADER_CONTACT_MAX_AGE + 0.4)
         assert isinstance(answers[0], NotLeader)
         member.on_charter(request={"version": 0}, callback=answers.append, caller="mast")
         assert isinstance(answers[1], NotLeader)
@@ -196,11 +196,11 @@
 @pytest.mark.parametrize("seed", [2, 5, 8, 13, 14])
 def test_a_primary_that_cannot_read_the_record_lets_its_lease_go(seed):
     # a fault made it take the lease again at once, every 3 s for ever (under all these seeds but 5)
-    world = Halls(seed=seed, n=3)
+    world = ControllerWorld(seed=seed, n=3)
 
     async def go():
         world.start_all()
-        await world.until(up(world, 3))
+        await world.until(all_members_up(world, 3))
         name = next(
             other
             for other in world.nodes
--- a/tests/test_headroom_queues.py
+++ b/tests/test_headroom_queues.py
@@ -9,7 +9,7 @@
 from hollowhall.base import constants
 
 ROOM, RESERVED = 32, 16  # accelerators
-KEPT_FREE = int(constants.HEADROOM_PART * ROOM)  # accelerators; headroom is at most this part of the room
+KEPT_FREE = int(constants.HEADROOM_FRACTION * ROOM)  # accelerators; headroom is at most this part of the room
 PEAK = 8  # accelerators that the urgent queue used at its peak; more than KEPT_FREE
 OPEN_MS = 10_000  # ms; begin of the reservation's window
 
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -107,7 +107,7 @@
         assert desk.state("w0") == TRIAL
     assert failures == 2 + 6  # two failures to the first time aside, then one for each trial
     assert [round(span, -2) for span in spans] == [
-        min(constants.PROBATION_MOST_MS, constants.PROBATION_MS << relapse) for relapse in range(7)
+        min(constants.PROBATION_MAX_MS, constants.PROBATION_MS << relapse) for relapse in range(7)
     ]
 
 
@@ -116,7 +116,10 @@
     desk.ends("w0", "bad", ["0.0/0", "0.1/0", "0.2/0"])
     health = desk.health["w0"]
     if health.state != ASIDE:  # the only worker of a kind may not be set aside
-        assert not desk.may_put_aside(desk.record.workers["w0"]) or health.evidence < constants.GUILT_ASIDE
+        assert (
+            not desk.may_put_aside(desk.record.workers["w0"])
+            or health.evidence < constants.EVIDENCE_SET_ASIDE
+        )
     flush(desk)
     desk.t += 6.0
     desk.look_at_health(ms=desk.clock_ms())
@@ -137,7 +140,11 @@
         desk.ends("w8", "ok", [f"0.{number_of_step}/0" for number_of_step in steps])
         desk.ends(f"w{number}", "bad", [f"0.{number_of_step}/1" for number_of_step in steps])
         flush(desk)
-    assert 1 <= sum(desk.state(f"w{number}") == ASIDE for number in range(9)) <= 9 * constants.ASIDE_PART + 1
+    assert (
+        1
+        <= sum(desk.state(f"w{number}") == ASIDE for number in range(9))
+        <= 9 * constants.ASIDE_MAX_FRACTION + 1
+    )
 
 
 def test_what_failed_is_tried_next_where_nothing_is_doubted():
@@ -158,7 +165,7 @@
     assert (
         desk.state("w0") == SUSPECTED
         and desk.events == []
-        and desk.health["w0"].evidence > constants.GUILT_ASIDE
+        and desk.health["w0"].evidence > constants.EVIDENCE_SET_ASIDE
     )
     desk.do(["flaky", "w0", desk.clock_ms() + 5000])  # the primary's decision, from the record
     assert desk.state("w0") == ASIDE
@@ -215,4 +222,4 @@
         desk.t += spans[-1] / 1000 + 0.01
         desk.look_at_health(ms=desk.clock_ms())
         assert desk.state("w0") == TRIAL
-    assert spans == [int(constants.ASIDE_S * 1000) << relapse for relapse in range(3)]
+    assert spans == [int(constants.SLOW_WORKER_ASIDE_S * 1000) << relapse for relapse in range(3)]
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -10,7 +10,7 @@
 from hollowhall.base.params import check
 from hollowhall.base.probe import probe
 from hollowhall.base.problems import Mismatch
-from hollowhall.base.seam import Seam
+from hollowhall.base.seam import Runtime
 from hollowhall.desk import Desk
 from hollowhall.mast import Mast
 from hollowhall.tools.fleet.fleet import free_ports
@@ -31,8 +31,8 @@
             store_address,
             [
                 Almanac(
-                    seam=Seam(folder=str(folder)),
-                    params=check(
+                    runtime=Runtime(folder=str(folder)),
+                    settings=check(
                         settings
                         | {
                             "id": "a1",
@@ -44,12 +44,12 @@
                     ),
                 ),
                 Desk(
-                    seam=Seam(),
-                    params=check(settings | {"id": "d1", "addr": scheduler_address, "role": "desk"}),
+                    runtime=Runtime(),
+                    settings=check(settings | {"id": "d1", "addr": scheduler_address, "role": "desk"}),
                 ),
                 Mast(
-                    seam=Seam(),
-                    params=check(
+                    runtime=Runtime(),
+                    settings=check(
                         settings | {"id": "m1", "addr": gateway_address, "http": http_address, "role": "mast"}
                     ),
                 ),
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -93,7 +93,7 @@
 def test_bad_tenants_are_named_and_no_key_is(row, field):
     with pytest.raises(problems.Raised) as raised:
         check_tenants({"t": row})
-    errors = raised.value.problem.errors
+    errors = raised.value.failure.errors
     assert field in dict(errors) and SECRET not in str(errors)
     with pytest.raises(problems.Raised):
         check_tenants({"": tenant()})
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -43,7 +43,10 @@
         await asyncio.sleep(2)
         daemon = world.nodes[world.who("desk", "primary")[0]].daemon
         member = Attempts(loop=world.loop, nth=nth, took=took)
-        pace, base = world.paces[world.cards[daemon.params.id]["machine"]], daemon.seam.now() - world.loop.vt
+        pace, base = (
+            world.paces[world.cards[daemon.settings.id]["machine"]],
+            daemon.runtime.now() - world.loop.vt,
+        )
         daemon.link = lambda addr: member
         outcome, counts_from, gap = await daemon.keep_lease(hold=1)
         seen["x"] = counts_from - base, member.sent, gap, outcome.ok
@@ -55,16 +58,16 @@
 
 def test_a_lease_counts_from_the_attempt_that_was_answered():
     at, sent, gap, ok = play_keep_alive(1, 0.1)
-    assert ok and abs(at - sent[0]) < 0.01 and abs(gap - (constants.HOLD_KEEP - 0.1)) < 0.01
+    assert ok and abs(at - sent[0]) < 0.01 and abs(gap - (constants.KEEPALIVE_PERIOD - 0.1)) < 0.01
     at, sent, gap, ok = play_keep_alive(2, 0.2)
     assert ok and len(sent) == 2 and abs(at - sent[1]) < 0.01
-    assert at < sent[1] + 0.05 and sent[1] - sent[0] > constants.KEEP_WAIT
-    assert gap == constants.HOLD_RETRY  # a period has passed: the next one is sent at once
+    assert at < sent[1] + 0.05 and sent[1] - sent[0] > constants.KEEPALIVE_ATTEMPT_TIMEOUT
+    assert gap == constants.KEEPALIVE_RETRY_DELAY  # a period has passed: the next one is sent at once
 
 
 def test_a_keep_alive_that_nobody_answers_renews_nothing():
     *_, gap, ok = play_keep_alive(9, 0.0)
-    assert not ok and gap == constants.HOLD_RETRY
+    assert not ok and gap == constants.KEEPALIVE_RETRY_DELAY
 
 
 def test_slices_of_a_picture_go_by_how_long_the_last_one_took():
@@ -78,16 +81,16 @@
 
     copying = Copying(rec=EmptyRecord())
     for _ in range(20):
-        copying.paced(s=copying.most * constants.PACK_TASK * 24)  # a processor 24 times slower
+        copying.paced(s=copying.most * constants.PACK_TASK_CPU_TIME * 24)  # a processor 24 times slower
     assert (
-        copying.most * constants.PACK_TASK * 24 < 1.5 * constants.PACK_AIM
-        and copying.most >= constants.PACK_LEAST
+        copying.most * constants.PACK_TASK_CPU_TIME * 24 < 1.5 * constants.PACK_SLICE_TARGET_TIME
+        and copying.most >= constants.PACK_SLICE_MIN_TASKS
     )
     for _ in range(20):
-        copying.paced(s=copying.most * constants.PACK_TASK)
-    assert copying.most == constants.PACK_SLICE
+        copying.paced(s=copying.most * constants.PACK_TASK_CPU_TIME)
+    assert copying.most == constants.PACK_SLICE_MAX_TASKS
     copying.paced(s=9.0)
-    assert copying.most == constants.PACK_LEAST
+    assert copying.most == constants.PACK_SLICE_MIN_TASKS
 
 
 def test_a_crowd_on_slow_processors_does_not_cost_the_leads():
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -31,8 +31,8 @@
     def hello(self):
         return {name: value for name, value in super().hello().items() if name != "level"}
 
-    def open_member(self, **kw):
-        super().open_member(**kw)
+    def open_monitoring(self, **kw):
+        super().open_monitoring(**kw)
         del self.card["level"]
 
     async def store(self, *, op, request, **kw):
@@ -110,14 +110,14 @@
     run(world, steps, seconds=16)
     assert seen[0] == [] and len(set(seen[1])) == 3
     assert all(
-        node.daemon.record.level == constants.LEVEL_USUAL
+        node.daemon.record.level == constants.LEVEL_DEFAULT
         for node in world.graves
         if node.name == "almanac-1" and node.daemon.applied
     )
 
 
 def test_a_param_keeps_the_level_down():
-    world = World(seed=3, shape=SHAPES["cymylau"], masts=1, params={"level": 0})
+    world = World(seed=3, shape=SHAPES["cymylau"], masts=1, settings={"level": 0})
 
     async def steps(world):
         await asyncio.sleep(5)
@@ -162,7 +162,7 @@
     abstract = False
 
     def make_record(self):
-        return OddRecord() if self.params.id == "almanac-2" else Record()
+        return OddRecord() if self.settings.id == "almanac-2" else Record()
 
 
 @pytest.mark.parametrize("seed", [1, 2])
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -9,9 +9,9 @@
 import pytest
 
 from hollowhall.base import connections
-from hollowhall.base.doors import Door, Reply
-from hollowhall.base.limits import Bounds, Patience
-from hollowhall.base.seam import Seam
+from hollowhall.base.doors import HttpListener, Reply
+from hollowhall.base.limits import Bounds, ClientLimits
+from hollowhall.base.seam import Runtime
 from hollowhall.tools.fleet.fleet import free_ports
 
 CARD = {
@@ -31,12 +31,12 @@
         callback(Reply(status=200, body={"n": len(call.body)}))
         return lambda: None
 
-    settings = {"bounds": Bounds(), "patience": Patience} | settings
-    listener = Door(
-        seam=Seam(),
+    settings = {"bounds": Bounds(), "patience": ClientLimits} | settings
+    listener = HttpListener(
+        runtime=Runtime(),
         addr=f"127.0.0.1:{free_ports(1)[0]}",
-        take=take or answer,
-        most=1 << 20,
+        handler=take or answer,
+        max_body_bytes=1 << 20,
         first=lambda method, path: path.startswith("/v1/workers"),
         too_large=lambda n: Reply(status=413, body={"limit": n}),
         full=lambda x: Reply(status=503, body={"where": x}, headers={"Retry-After": "1"}),
@@ -46,7 +46,7 @@
     try:
         yield listener
     finally:
-        await listener.shut()
+        await listener.close()
 
 
 async def connect(listener, text):
@@ -82,7 +82,7 @@
 
     async def scenario():
         async with (
-            open_listener(bounds=Bounds(clients=75, spare=25), **kw) as listener,
+            open_listener(bounds=Bounds(clients=75, priority=25), **kw) as listener,
             aiohttp.ClientSession() as session,
         ):
             most, reports, clients = 0, [], []
@@ -90,12 +90,12 @@
                 clients.append(await connect(listener, HALF_HEADER))
                 if number % 10 == 9:
                     reports.append(await report(session, listener))
-                most = max(most, len(listener.kept.all))
+                most = max(most, len(listener.connections.all))
             for _, writer in clients:
                 with contextlib.suppress(ConnectionError):
                     writer.write(b"1\r\n\r\n")
             answers = await asyncio.gather(*(reply(reader) for reader, _ in clients))
-            seen.update(most=most, reports=reports, got=answers, left=listener.kept.bytes)
+            seen.update(most=most, reports=reports, got=answers, left=listener.connections.bytes)
             for _, writer in clients:
                 writer.close()
 
@@ -134,7 +134,7 @@
     monkeypatch.setattr(connections.constants, "IDLE_MIN", 0.0)
 
     async def scenario():
-        async with open_listener(bounds=Bounds(clients=4, spare=2)) as listener:
+        async with open_listener(bounds=Bounds(clients=4, priority=2)) as listener:
             old = [await connect(listener, REQUEST) for _ in range(4)]
             assert [(await reply(reader))[0] for reader, _ in old] == [200] * 4
             new = [await connect(listener, REQUEST) for _ in range(2)]
@@ -144,7 +144,7 @@
                 if number >= 2:
                     writer.write(REQUEST)
                 assert (await reply(reader) is None) == (number < 2)
-            assert listener.kept.counts["dropped"] == 2 and len(listener.kept.all) == 4
+            assert listener.connections.counts["dropped"] == 2 and len(listener.connections.all) == 4
 
     run(scenario)
 
@@ -152,19 +152,19 @@
 @pytest.mark.parametrize(
     "text, patience",
     [
-        (b"", Patience(idle_s=0.1)),
-        (HALF_HEADER, Patience(header_s=0.1)),
-        (b"POST /v1/jobs HTTP/1.1\r\nHost: h\r\nContent-Length: 99\r\n\r\nx", Patience(body_s=0.1)),
-        (HALF_HEADER + b"x" * 3000, Patience(head_bytes=2000)),
+        (b"", ClientLimits(idle_s=0.1)),
+        (HALF_HEADER, ClientLimits(header_s=0.1)),
+        (b"POST /v1/jobs HTTP/1.1\r\nHost: h\r\nContent-Length: 99\r\n\r\nx", ClientLimits(body_s=0.1)),
+        (HALF_HEADER + b"x" * 3000, ClientLimits(head_bytes=2000)),
     ],
 )
 def test_slow_and_idle_clients_are_closed(text, patience):
     async def scenario():
         async with open_listener(patience=lambda: patience) as listener:
             reader, writer = await connect(listener, text)
-            assert await reply(reader) is None and listener.kept.counts["late"] == 1
+            assert await reply(reader) is None and listener.connections.counts["late"] == 1
             writer.close()
-            assert listener.kept.bytes == 0 and not listener.kept.all
+            assert listener.connections.bytes == 0 and not listener.connections.all
 
     run(scenario)
 
@@ -191,7 +191,7 @@
             clients = [await connect(listener, head(100_000) + b"x" * 100_000) for _ in range(3)]
             while len(callbacks) < 3:
                 await asyncio.sleep(0)
-            assert listener.kept.bytes == 300_000
+            assert listener.connections.bytes == 300_000
             for _ in range(20):  # refused by the header: no body was sent
                 reader, writer = await connect(listener, head(100_000))
                 status, headers = await reply(reader)
@@ -216,7 +216,7 @@
             while len(callbacks) < 4:
                 await asyncio.sleep(0)
             writer.close()  # a client that disconnects releases its memory
-            while listener.kept.bytes:
+            while listener.connections.bytes:
                 await asyncio.sleep(0)
 
     run(scenario)
@@ -226,15 +226,15 @@
     """A handler that starts after its connection was closed must not register the connection again."""
 
     async def scenario():
-        async with open_listener(patience=lambda: Patience(body_s=0.1)) as listener:
+        async with open_listener(patience=lambda: ClientLimits(body_s=0.1)) as listener:
             reader, writer = await connect(listener, b"")
-            while not listener.kept.all:
+            while not listener.connections.all:
                 await asyncio.sleep(0)
-            connection = next(iter(listener.kept.all))
-            listener.kept.evict(connection=connection, why="dropped")
+            connection = next(iter(listener.connections.all))
+            listener.connections.evict(connection=connection, why="dropped")
             for state in (connections.BODY, connections.HEAD, connections.WAITING):
-                listener.kept.set_state(connection=connection, state=state)
-            assert not any(listener.kept.by_state.values()) and await reply(reader) is None
+                listener.connections.set_state(connection=connection, state=state)
+            assert not any(listener.connections.by_state.values()) and await reply(reader) is None
             writer.close()
 
     run(scenario)
--- a/tests/test_limits_record.py
+++ b/tests/test_limits_record.py
@@ -21,8 +21,8 @@
     return {"lane": "tiles", "notBefore": at, "steps": [step("a", "tile", 100, tasks=tasks)]}
 
 
-def world(**params):
-    simulated = World(seed=5, shape=SHAPES["cymylau"], masts=1, params=params)
+def world(**settings):
+    simulated = World(seed=5, shape=SHAPES["cymylau"], masts=1, settings=settings)
 
     async def up():
         simulated.start_all()
@@ -45,7 +45,7 @@
 
     async def go():
         caller, primary = await up()
-        most = int(64 * (1 << 20) * constants.RECORD_PART)
+        most = int(64 * (1 << 20) * constants.RECORD_MEMORY_FRACTION)
         status, index = 201, -1
         while status == 201:
             index += 1
@@ -77,7 +77,7 @@
     async def go():
         _, primary = await up()
         assert primary.room_for(10**12)
-        primary.params.memory_mb = 64
+        primary.settings.memory_mb = 64
         assert not primary.room_for(10**12) and primary.room_for(1000)
         primary.coming = 64 << 18
         assert not primary.room_for(1000)
@@ -91,7 +91,7 @@
     async def go():
         _, primary = await up()
         primary.record.names = {
-            str(index): [0, "", ""] for index in range((64 << 18) // constants.NAME_BYTES)
+            str(index): [0, "", ""] for index in range((64 << 18) // constants.JOB_NAME_BYTES)
         }
         assert not primary.room_for(1000)
 
@@ -104,7 +104,7 @@
 
     async def go():
         _, primary = await up()
-        primary.lag = 2 * constants.LAG_SHUT
+        primary.loop_lag = 2 * constants.READS_REFUSED_LAG
         for op, request in (("read", {"name": "x"}), ("list", {}), ("count", {"lane": "tiles"})):
             primary.serve(
                 op=op, request=request, caller="m", callback=lambda result, op=op: out.setdefault(op, result)
@@ -165,7 +165,7 @@
     try:
         with pytest.raises(Raised) as raised:
             make()
-        assert isinstance(raised.value.problem, BadInput) and len(raised.value.problem.errors) == 1
+        assert isinstance(raised.value.failure, BadInput) and len(raised.value.failure.errors) == 1
         assert tracemalloc.get_traced_memory()[1] < 2 << 20
     finally:
         tracemalloc.stop()
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -3,17 +3,17 @@
 
 import asyncio
 
-from test_hall import Halls, up
+from test_hall import ControllerWorld, all_members_up
 
-from hollowhall.base.circuit import Link
+from hollowhall.base.circuit import RpcClient
 
 
 def test_a_handshake_without_answer_closes_its_connection():
-    world = Halls(seed=1, n=3)
+    world = ControllerWorld(seed=1, n=3)
 
     async def go():
         world.start_all()
-        await world.until(up(world, 3))
+        await world.until(all_members_up(world, 3))
         daemon = world.halls()[0].store
         opened = []
 
@@ -39,8 +39,8 @@
             async def dial(self, *, addr):
                 return Wire()
 
-        daemon.seam.net = Net()
-        Link(host=daemon, addr="10.9.9.9:7000")
+        daemon.runtime.net = Net()
+        RpcClient(host=daemon, addr="10.9.9.9:7000")
         await asyncio.sleep(20)
         count = len(opened)
         await asyncio.sleep(3)
--- a/tests/test_loaded_record.py
+++ b/tests/test_loaded_record.py
@@ -177,9 +177,9 @@
 
 @pytest.fixture
 def small_slices(monkeypatch):
-    monkeypatch.setattr(constants, "PACK_SLICE", 4)
-    monkeypatch.setattr(constants, "PACK_FIRST", 4)
-    monkeypatch.setattr(constants, "PACK_GAP", 0)
+    monkeypatch.setattr(constants, "PACK_SLICE_MAX_TASKS", 4)
+    monkeypatch.setattr(constants, "PACK_FIRST_SLICE_TASKS", 4)
+    monkeypatch.setattr(constants, "PACK_SLICE_PAUSE", 0)
 
 
 def test_a_record_that_was_loaded_goes_on_as_the_one_that_applied_every_entry(small_slices):
@@ -200,8 +200,8 @@
 
 
 if __name__ == "__main__":
-    constants.PACK_SLICE = constants.PACK_FIRST = 4
-    constants.PACK_GAP = 0
+    constants.PACK_SLICE_MAX_TASKS = constants.PACK_FIRST_SLICE_TASKS = 4
+    constants.PACK_SLICE_PAUSE = 0
     first, last = map(int, sys.argv[1].split("-"))
     for seed in range(first, last + 1):
         one, other = compare_after_load(seed=seed)
--- a/tests/test_members_replaced.py
+++ b/tests/test_members_replaced.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from test_hall import Halls, up
+from test_hall import ControllerWorld, all_members_up
 
 from hollowhall.almanac.vote import LEADER
 from hollowhall.sim.disk import SimDisk
@@ -15,7 +15,7 @@
     """Starts all members and waits until the membership is in the log. Then one, the leader or another, is
     lost for good, and after `wait` s a blank one at another address asks to join."""
     world.start_all()
-    await world.until(up(world, 3))
+    await world.until(all_members_up(world, 3))
     await world.until(lambda: all(replica.store.conf["v"] >= 1 for replica in world.halls()))
     gone = next(
         name
@@ -24,23 +24,23 @@
     )
     world.power_off(world.cards[gone]["machine"])
     await asyncio.sleep(wait)
-    world.add_hall(9)
+    world.add_controller(9)
     world.start("hall-9")
 
 
 def test_of_nine_voters_one_gone_for_good_is_replaced():
-    world = Halls(seed=9, n=9)
+    world = ControllerWorld(seed=9, n=9)
 
     async def scenario():
         world.start_all()
-        await world.until(up(world, 9), limit=40)
+        await world.until(all_members_up(world, 9), limit=40)
         gone = next(
             name
             for name in world.nodes
             if name.startswith("hall") and world.nodes[name].daemon.store.rank != LEADER
         )
         world.power_off(world.cards[gone]["machine"])
-        world.add_hall(12)
+        world.add_controller(12)
         world.start("hall-12")
         await world.until(
             lambda: all(
@@ -58,18 +58,18 @@
 
 
 def test_of_nine_after_a_replacement_a_wiped_one_counts_again():
-    world = Halls(seed=9, n=9)
+    world = ControllerWorld(seed=9, n=9)
 
     async def scenario():
         world.start_all()
-        await world.until(up(world, 9), limit=40)
+        await world.until(all_members_up(world, 9), limit=40)
         gone, wiped = [
             name
             for name in world.nodes
             if name.startswith("hall") and world.nodes[name].daemon.store.rank != LEADER
         ][:2]
         world.power_off(world.cards[gone]["machine"])
-        world.add_hall(12)
+        world.add_controller(12)
         world.start("hall-12")
         await asyncio.sleep(20)
         world.kill(wiped)
@@ -82,11 +82,11 @@
 
 def test_of_five_one_wiped_while_one_is_down_and_then_a_third():
     """Two members may be down at once. One that came back with an empty disk 8 s ago is up again."""
-    world = Halls(seed=5, n=5)
+    world = ControllerWorld(seed=5, n=5)
 
     async def scenario():
         world.start_all()
-        await world.until(up(world, 5))
+        await world.until(all_members_up(world, 5))
         await world.until(lambda: all(replica.store.conf["v"] >= 1 for replica in world.halls()))
         down, wiped, third = [
             name
@@ -108,7 +108,7 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_of_three_one_replaced_and_then_another_loses_its_disk(seed):
     """The new member has been up for syncS (4 s), so one more may be lost, with its disk."""
-    world = Halls(seed=seed, n=3)
+    world = ControllerWorld(seed=seed, n=3)
 
     async def scenario():
         await lose_one_and_add_another(world, leads=True, wait=0.6)
@@ -130,7 +130,7 @@
 
 @pytest.mark.parametrize("ms", [0, 20, 40, 60, 80, 100, 120, 140, 160, 180, 200, 250, 300])
 def test_a_newcomer_killed_while_it_is_let_in_does_not_stop_the_store(ms):
-    world = Halls(seed=ms, n=3)
+    world = ControllerWorld(seed=ms, n=3)
 
     async def scenario():
         await lose_one_and_add_another(world, leads=False, wait=1.0)
@@ -161,7 +161,7 @@
 
 @pytest.mark.parametrize("ms", range(200, 5000, 400))
 def test_a_newcomer_that_loses_its_disk_at_once_does_not_stop_the_store(ms):
-    world = Halls(seed=ms, n=3)
+    world = ControllerWorld(seed=ms, n=3)
 
     async def scenario():
         await lose_one_and_add_another(world, leads=True, wait=1.0)
--- a/tests/test_members_weak.py
+++ b/tests/test_members_weak.py
@@ -72,7 +72,7 @@
                 )
                 leader.use_conf()
 
-            await world.nodes[leader.params.id].run(out())
+            await world.nodes[leader.settings.id].run(out())
             await asyncio.sleep(1)
             return feed.done(), [line for line in world.log if "HH106" in line]
 
--- a/tests/test_model_mends.py
+++ b/tests/test_model_mends.py
@@ -176,11 +176,11 @@
     run = Script(replica_class=replica_class, spares=1)
     run.elect(A, B)
     run.append(A, B, times=2)
-    run.cluster.loop.advance(constants.TOUCH)
+    run.cluster.loop.advance(constants.LEADER_CONTACT_MAX_AGE)
     run.replica(A).put_conf(learner=D)  # appended at A only
     run.cluster.loop.advance(0.1)
     leader = run.replica(A)
-    assert leader.quorum_age() < constants.ELECT_MAX  # not yet time to step down
+    assert leader.quorum_age() < constants.ELECTION_TIMEOUT_MAX  # not yet time to step down
     assert leader.out_of_touch() == refuses
     answers = []
     leader.serve(op="charter", request={"version": 0}, caller="gateway", callback=answers.append)
@@ -204,7 +204,7 @@
     run.elect(A, C)
     run.append(A, C, times=3)
     run.cluster.loop.advance(0.9)
-    now = run.replica(A).seam.now()
+    now = run.replica(A).runtime.now()
     run.replica(A).serve(op="keep", request={"hold": lease}, caller="primary", callback=kept.append)
     run.append(A, B, times=1)
     assert kept[0].ok and lease not in run.replica(B).keys.holds, "A confirms, and B lacks the lease"
@@ -244,6 +244,6 @@
         )
         run.append(A, C, times=2)
     assert len(leader.keeps()) == 30
-    run.cluster.loop.advance(constants.KEPT_UNKNOWN + 1)
+    run.cluster.loop.advance(constants.UNKNOWN_KEEPALIVE_KEPT + 1)
     assert leader.keeps() == {} and leader.kept == {}
     run.close()
--- a/tests/test_older_data.py
+++ b/tests/test_older_data.py
@@ -73,7 +73,7 @@
 
 def world_on_recorded_disks():
     """A fleet whose store members have the recorded folders, addresses and a clock past the recorded time."""
-    w = World(seed=1, shape=SHAPES["cymylau"], masts=1, params={"level": 5, "ring_bytes": LOG_BYTES})
+    w = World(seed=1, shape=SHAPES["cymylau"], masts=1, settings={"level": 5, "ring_bytes": LOG_BYTES})
     addresses = {}
     for n, member in enumerate(MEMBERS):
         disk = SimDisk(rng=random.Random(n))
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -83,7 +83,7 @@
 
 
 def test_a_chain_of_hundreds_of_steps_is_added_up():
-    names = [f"s{n}" for n in range(constants.CHAIN_STEPS + 5)]
+    names = [f"s{n}" for n in range(constants.CHAIN_STEPS_MAX + 5)]
     steps = [step(name, estimateMs=10, after=[earlier]) for name, earlier in zip(names[1:], names)]
     spec, _ = check_job({"lane": "q", "steps": [step(names[0], estimateMs=10), *steps]})
     assert tails_ms(spec=spec)[names[0]] == 10 * len(names)
@@ -109,7 +109,10 @@
 def test_headroom_is_a_part_of_the_room_at_most_and_never_kept_from_the_urgent():
     record = two_queues()
     peak = {"u": [80_000, 0, 0]}
-    assert len(Round(rec=record, now=1100, most=99, peak_use=peak).run()) == 80 - 80 * constants.HEADROOM_PART
+    assert (
+        len(Round(rec=record, now=1100, most=99, peak_use=peak).run())
+        == 80 - 80 * constants.HEADROOM_FRACTION
+    )
     record.do(["job", "now", *check_job({"lane": "u", "steps": [step(tasks=8)]})])
     starts = Round(rec=record, now=1100, most=99, peak_use=peak).run()
     assert sum(task.startswith("now/") for task, _ in starts) == 8
@@ -126,9 +129,9 @@
     place.record.lane_used = {"u": [5000, 0, 0]}
     place.note_use(ms=1000)
     place.record.lane_used = {"u": [1000, 0, 0]}
-    for n in range(1, constants.USE_LOOKS + 1):
+    for n in range(1, constants.USAGE_SAMPLES_KEPT + 1):
         assert place.peaks()["u"] == [5000, 0, 0]
-        place.note_use(ms=1000 + n * constants.USE_LOOK_MS)
+        place.note_use(ms=1000 + n * constants.USAGE_SAMPLE_PERIOD_MS)
     assert place.peaks()["u"] == [1000, 0, 0]
 
 
@@ -170,7 +173,7 @@
 
 
 def test_aims_are_remembered_for_so_many_jobs_only(monkeypatch):
-    monkeypatch.setattr(constants, "AIMS_MOST", 1)
+    monkeypatch.setattr(constants, "TARGET_TIMES_CACHED_MAX", 1)
     record = queue_of_three()
     job_aims = aims(record)
     for name in ("j", "b", "c"):
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -22,8 +22,8 @@
 
     def __init__(self, record):
         self.record, self.t, self.said, self.events, self.sessions = record, 1.0, [], [], {}
-        self.params = Bag(far_times=3.0, hold_ms=3600)
-        self.seam, self.work = Bag(now=lambda: self.t, spend=lambda s: 0.0), Bag(set=lambda: None)
+        self.settings = Bag(far_times=3.0, hold_ms=3600)
+        self.runtime, self.work = Bag(now=lambda: self.t, spend=lambda s: 0.0), Bag(set=lambda: None)
         self.epoch = 4
         self.open_pace()
         self.open_place()
@@ -129,7 +129,7 @@
     assert list(desk.slow) == ["w2"] and desk.said[0][0] == 419
     assert {event[0] for event in desk.events} == {"stop"}
     assert {desk.record.legs[event[1]].worker for event in desk.events} == {"w2"}
-    desk.t += constants.ASIDE_S
+    desk.t += constants.SLOW_WORKER_ASIDE_S
     desk.sessions.clear()
     desk.look_at_pace(now=desk.t, ms=desk.clock_ms())
     assert not desk.slow  # no more evidence against it: it is tried again
@@ -163,7 +163,7 @@
 def test_no_more_than_a_part_is_set_aside():
     desk = busy(workers=6, tasks=12)
     pass_time(desk, {f"w{i}": 30 if i < 3 else 3 for i in range(6)}, to=3.0)
-    assert 1 <= len(desk.slow) <= 6 * constants.ASIDE_PART + 1
+    assert 1 <= len(desk.slow) <= 6 * constants.ASIDE_MAX_FRACTION + 1
 
 
 def urgent(*, saves=True, **kw):
@@ -225,7 +225,10 @@
     assert len(racks(record, round_of(record, 10))) == 1
     record = gang(True, True)
     assert round_of(record, 10).gangs == []
-    assert len(racks(record, round_of(record, 10 + int(constants.FAR_PART * 2 * 1000) + 10))) == 2
+    assert (
+        len(racks(record, round_of(record, 10 + int(constants.REMOTE_COST_WAIT_FRACTION * 2 * 1000) + 10)))
+        == 2
+    )
     record = gang(False, True)
     assert len(racks(record, round_of(record, 10))) == 2
 
--- a/tests/test_pace_gangs.py
+++ b/tests/test_pace_gangs.py
@@ -37,23 +37,25 @@
             {"lane": "hot", "steps": [step(tasks=tasks, gang=True, room={"cores": 8000})]}
         )
         desk.record.do(["job", name, spec, digest], ms=1000)
-    stops = placement_events(desk, 1100 + constants.GANG_STARVE_MS)
+    stops = placement_events(desk, 1100 + constants.GANG_STARVATION_MS)
     assert sorted(set(desk.kept.values())) == [("a", "0.0")] and len(desk.kept) == 4
     assert {event[0] for event in stops} == {"stop"}
     assert {desk.record.legs[event[1]].worker for event in stops} == set(desk.kept)
     desk.record.do(*stops, ms=1600)
     desk.record.do(*[["end", event[1], "stopped", "", "cp"] for event in stops], ms=1600)
-    gangs = [event for event in placement_events(desk, 1700 + constants.GANG_STARVE_MS) if event[0] == "gang"]
+    gangs = [
+        event for event in placement_events(desk, 1700 + constants.GANG_STARVATION_MS) if event[0] == "gang"
+    ]
     assert [event[1] for event in gangs] == ["a"] and not set(gangs[0][3]) - {f"w{i}" for i in range(8)}
 
 
 def test_room_for_a_gang_is_made_on_its_own_workers_and_no_more_than_it_needs():
     desk = urgent(gang=True)
     assert placement_events(desk, 1100) == []
-    stops = placement_events(desk, 1100 + constants.GANG_STARVE_MS)
+    stops = placement_events(desk, 1100 + constants.GANG_STARVATION_MS)
     assert [event[0] for event in stops] == ["stop", "stop"]
     assert {desk.record.legs[event[1]].worker for event in stops} == set(desk.kept)
     desk.record.do(*stops, ms=1600)
     assert (
-        placement_events(desk, 1700 + constants.GANG_STARVE_MS) == []
+        placement_events(desk, 1700 + constants.GANG_STARVATION_MS) == []
     )  # the stopped attempts have not ended yet
--- a/tests/test_params.py
+++ b/tests/test_params.py
@@ -42,7 +42,7 @@
 def test_invalid_settings_name_their_key(change, key):
     with pytest.raises(Raised) as raised:
         check(GOOD | change)
-    assert key in [name for name, _ in raised.value.problem.errors]
+    assert key in [name for name, _ in raised.value.failure.errors]
 
 
 def test_the_program_exits_with_2_and_names_the_keys():
--- a/tests/test_pictures.py
+++ b/tests/test_pictures.py
@@ -97,8 +97,8 @@
 
 
 def test_a_picture_is_of_the_moment_it_was_begun(monkeypatch):
-    monkeypatch.setattr(constants, "PACK_SLICE", 5)
-    monkeypatch.setattr(constants, "PACK_GAP", 0)
+    monkeypatch.setattr(constants, "PACK_SLICE_MAX_TASKS", 5)
+    monkeypatch.setattr(constants, "PACK_SLICE_PAUSE", 0)
     for seed in range(12):
         at, snapshot, now = digests_of_sliced_snapshot(Record, seed)
         assert at == snapshot != now
@@ -108,7 +108,7 @@
 def play_large_record(build, jobs=50):
     """A record of jobs of 500 tasks each, on processors that take time to pack them. Returns the lines
     of leaders that lost their leadership and the longest time that the event loop was blocked, ms."""
-    world = World(seed=4, shape=SHAPES["cymylau"], masts=1, build=build, params={"snap_every": 40})
+    world = World(seed=4, shape=SHAPES["cymylau"], masts=1, build=build, settings={"snap_every": 40})
     world.step_s, world.cpu_times = 1e-9, 10.0
     body = {
         "lane": "tiles",
@@ -150,8 +150,8 @@
 
 
 def test_chunks_go_on_where_they_broke_off(monkeypatch):
-    monkeypatch.setattr(constants, "CHUNK_BYTES", 400)
-    world = World(seed=5, shape=SHAPES["cymylau"], masts=1, params={"snap_every": 30})
+    monkeypatch.setattr(constants, "SNAPSHOT_CHUNK_BYTES", 400)
+    world = World(seed=5, shape=SHAPES["cymylau"], masts=1, settings={"snap_every": 30})
 
     async def scenario():
         world.start_all()
@@ -214,7 +214,7 @@
 def test_a_tail_asked_for_while_the_snapshot_is_not_on_disk_yet_waits():
     """A blank member answered a parked tail request from a snapshot that it had received but not yet
     written, and the task that was applying it failed (seed 40020)."""
-    world, answers = World(seed=6, shape=SHAPES["cymylau"], masts=1, params={"snap_every": 30}), []
+    world, answers = World(seed=6, shape=SHAPES["cymylau"], masts=1, settings={"snap_every": 30}), []
 
     async def scenario():
         world.start_all()
@@ -233,7 +233,7 @@
         world.start(name)
         await asyncio.sleep(0.05)
         # as if it had just heard the leader
-        world.nodes[name].daemon.leader_heard_at = world.nodes[name].daemon.seam.now()
+        world.nodes[name].daemon.leader_heard_at = world.nodes[name].daemon.runtime.now()
         world.nodes[name].daemon.on_tail(
             request={"i": 0, "level": constants.LEVEL}, callback=answers.append, caller="test"
         )
--- a/tests/test_place.py
+++ b/tests/test_place.py
@@ -86,7 +86,7 @@
 def test_a_large_task_is_not_starved_by_small_ones(wait, starved, monkeypatch):
     """Small jobs keep arriving; if a worker is held back, the large task starts."""
     if not wait:
-        monkeypatch.setattr(constants, "STARVE_MS", 10**9)
+        monkeypatch.setattr(constants, "STARVATION_MS", 10**9)
     table, running, started = Table(workers=2), [], False
     table.job("small-0", tasks=16)
     running += list(table.turn()[1].items())
--- a/tests/test_place_costs.py
+++ b/tests/test_place_costs.py
@@ -46,14 +46,14 @@
     return placement_round, placement_round.run()
 
 
-@pytest.mark.parametrize("ms", [constants.GANG_STARVE_MS // 2, 10 * constants.GANG_STARVE_MS])
+@pytest.mark.parametrize("ms", [constants.GANG_STARVATION_MS // 2, 10 * constants.GANG_STARVATION_MS])
 def test_a_crowd_of_gangs_looks_through_the_workers_a_few_times(looks, ms):
     placement_round, _ = crowd(ms=ms, tasks=4, gang=True, tight=True)
     assert not placement_round.gangs and looks["gangs"] <= 6 * WORKERS
 
 
 def test_the_oldest_gangs_that_starve_get_workers_kept_for_them_all_the_same():
-    placement_round, _ = crowd(ms=10 * constants.GANG_STARVE_MS, tasks=4, gang=True)
+    placement_round, _ = crowd(ms=10 * constants.GANG_STARVATION_MS, tasks=4, gang=True)
     assert {step_key for step_key in placement_round.kept.values()} == {("c0", "0.0"), ("c1", "0.0")}
 
 
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -82,19 +82,19 @@
     picture = {"at": 1, "record": World(seed=1, shape=SHAPES["cymylau"]).build["desk"].make_record().pack()}
     with pytest.raises(Raised) as raised:
         plan(picture=json.loads(json.dumps(picture)), change=change)
-    assert isinstance(raised.value.problem, problem)
+    assert isinstance(raised.value.failure, problem)
 
 
 def test_an_unreadable_picture_is_a_typed_problem():
     with pytest.raises(Raised) as raised:
         read_picture({"record": {"epoch": 1}})
-    assert isinstance(raised.value.problem, BadInput)
+    assert isinstance(raised.value.failure, BadInput)
 
 
 def test_every_fault_of_a_change_is_told():
     with pytest.raises(Raised) as raised:
         read_change({"base": "1", "rows": [], "drain": "w1", "add": [{"id": "w"}], "x": 1})
-    assert {key for key, _ in raised.value.problem.errors} == {"base", "rows", "drain", "add.0.kind", "x"}
+    assert {key for key, _ in raised.value.failure.errors} == {"base", "rows", "drain", "add.0.kind", "x"}
     change = read_change({"add": [{"id": "w", "kind": "tile", "cores": 4}], "whole": False})
     assert change.add[0].room == [4, 0, 0]
     with pytest.raises(Raised):
--- a/tests/test_platform_herds.py
+++ b/tests/test_platform_herds.py
@@ -24,7 +24,7 @@
 
 from hollowhall.almanac import Almanac
 from hollowhall.base import constants
-from hollowhall.base.daemon import StoreMixin
+from hollowhall.base.daemon import StoreClientMixin
 from hollowhall.base.problems import Success
 from hollowhall.desk import Desk
 from hollowhall.mast import Reply
@@ -58,7 +58,7 @@
 
 
 def slow_to_elect(m):
-    m.setattr(constants, "ELECT_START", 9.0)
+    m.setattr(constants, "ELECTION_TIMEOUT_AT_START", 9.0)
 
 
 def short_reigns(m):
@@ -93,7 +93,7 @@
     take = front.Front.take
 
     def cold(self, *, call, callback):
-        now = self.mast.seam.now()
+        now = self.mast.runtime.now()
         self.born = getattr(self, "born", now)
         if now - self.born < 8.0 and call.method == "POST":
             callback(Reply(status=503, body={}))
@@ -111,13 +111,13 @@
 
 
 def test_successors_that_wait_for_long_leases_of_the_dead_are_seen(monkeypatch):
-    store = StoreMixin.store
+    store = StoreClientMixin.store
 
     async def keeps(self, *, op, request, **kw):
         return Success(value={}) if op == "revoke" else await store(self, op=op, request=request, **kw)
 
-    monkeypatch.setattr(StoreMixin, "store", keeps)
-    monkeypatch.setattr(constants, "HOLD_TTL", 9.0)
+    monkeypatch.setattr(StoreClientMixin, "store", keeps)
+    monkeypatch.setattr(constants, "LEASE_TTL", 9.0)
     w, _, _ = play(leader_again, seconds=16.0)
     assert w.kills < 4 or served_after(w) > SOON
 
@@ -190,7 +190,7 @@
     """A store in which nobody stands for election again once a leader was lost."""
 
     async def campaign(self, **kw):
-        return await CAMPAIGN(self, **kw) if self.seam.now() - self.born < 3.0 else None
+        return await CAMPAIGN(self, **kw) if self.runtime.now() - self.born < 3.0 else None
 
     monkeypatch.setattr(Almanac, "campaign", campaign)
     w, _, _ = play(slow_machine("primary", times=100.0), cpu=True, seed=2, seconds=16.0)
--- a/tests/test_platform_program.py
+++ b/tests/test_platform_program.py
@@ -12,7 +12,7 @@
 import serve
 from test_platform_translation import ROOT, SETTINGS, write
 
-from hollowhall.base.seam import Seam
+from hollowhall.base.seam import Runtime
 
 MADE = """
 import sys
@@ -48,10 +48,10 @@
             role="mast",
             path=settings_file,
             platform_settings=boot.read_settings(path=settings_file),
-            seam=Seam(),
+            runtime=Runtime(),
         )
         applied, logged = [], []
-        program.daemon.take_params = applied.append
+        program.daemon.apply_settings = applied.append
         program.daemon.say = lambda event, **kw: logged.append((event.no, kw))
         before = program.settings_stamp()
         write(tmp_path, settings | {"zone": "another"})
--- a/tests/test_platform_translation.py
+++ b/tests/test_platform_translation.py
@@ -101,8 +101,8 @@
     settings = {field: value for field, value in (SETTINGS | change).items() if value is not None}
     with pytest.raises(P.Raised) as raised:
         boot.read_settings(path=write(tmp_path, settings))
-    assert isinstance(raised.value.problem, P.BadParams)
-    assert any(field.startswith(where) for field, _ in raised.value.problem.errors)
+    assert isinstance(raised.value.failure, P.BadParams)
+    assert any(field.startswith(where) for field, _ in raised.value.failure.errors)
 
 
 @pytest.mark.parametrize("role", ["hall", "mast"])
--- a/tests/test_platform_translation_config.py
+++ b/tests/test_platform_translation_config.py
@@ -12,7 +12,7 @@
 def faults(config):
     with pytest.raises(P.Raised) as raised:
         tables.read_config(config)
-    return {field for field, _ in raised.value.problem.errors}
+    return {field for field, _ in raised.value.failure.errors}
 
 
 def test_an_invalid_configuration_names_every_fault():
@@ -69,4 +69,4 @@
     assert word in body
     with pytest.raises(P.Raised) as raised:
         tables.parse_object(body)
-    assert isinstance(raised.value.problem, P.BadInput)
+    assert isinstance(raised.value.failure, P.BadInput)
--- a/tests/test_probation.py
+++ b/tests/test_probation.py
@@ -10,7 +10,7 @@
 from hollowhall.record.charter import check_job
 
 SIGN_MS = 60_000  # ms; when tasks were last seen to stand still
-CALM_MS = SIGN_MS + int(constants.ASIDE_S * 1000)
+CALM_MS = SIGN_MS + int(constants.SLOW_WORKER_ASIDE_S * 1000)
 RELAPSES = 4
 
 
--- a/tests/test_reported_ends.py
+++ b/tests/test_reported_ends.py
@@ -9,7 +9,7 @@
 from test_level_two import made, runs, step
 
 from hollowhall.base.problems import NotPrimary, NotSynced, Unsure
-from hollowhall.base.slab import Slab
+from hollowhall.base.slab import PendingRequests
 from hollowhall.desk.beats import BeatsMixin
 from hollowhall.desk.turns import TurnsMixin
 
@@ -21,12 +21,12 @@
 
     def __init__(self, record):
         self.record, self.time_s, self.refusal = record, 10.0, None
-        self.seam, self.params = (
+        self.runtime, self.settings = (
             SimpleNamespace(now=lambda: self.time_s),
             SimpleNamespace(hold_ms=6000, margin_ms=1500),
         )
         self.epoch, self.leaving, self.until, self.primary_now = 1, False, 99.0, True
-        self.sessions, self.beat_slab, self.judged, self.windows = {}, Slab(cap=64), {}, {}
+        self.sessions, self.beat_slab, self.judged, self.windows = {}, PendingRequests(capacity=64), {}, {}
         self.gangs_taken_back, self.said = set(), []
         self.open_turns()
 
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -6,18 +6,18 @@
 import pytest
 
 from hollowhall.base import problems as P
-from hollowhall.base.slab import Slab
+from hollowhall.base.slab import PendingRequests
 from hollowhall.mast.requests import RequestsMixin
 from hollowhall.sim.loop import SimLoop
 
 
-class Link:
+class RpcClient:
     """A connection whose answers are given; None is silence."""
 
     def __init__(self, results):
         self.up, self.results, self.sent = True, list(results), 0
 
-    def ask(self, *, op, request, callback, wait):
+    def send_request(self, *, op, request, callback, wait):
         self.sent += 1
         result = self.results.pop(0) if self.results else P.NotPrimary()
         if result is not None:
@@ -30,10 +30,16 @@
     """A gateway's retries, with a primary and a store member of the test; it is its own clock and metrics."""
 
     def __init__(self, loop, results):
-        self.loop, self.slab, self.leaving, self.primary, self.alms = loop, Slab(cap=8), False, "a", ["s"]
-        self.store, self.link_ = Link([]), Link(results)
-        self.retries, self.lag, self.params = 0, 0.0, self
-        self.id, self.gauges, self.seam = "m", self, self
+        self.loop, self.pending_requests, self.leaving, self.primary, self.store_addresses = (
+            loop,
+            PendingRequests(capacity=8),
+            False,
+            "a",
+            ["s"],
+        )
+        self.store, self.link_ = RpcClient([]), RpcClient(results)
+        self.retries, self.loop_lag, self.settings = 0, 0.0, self
+        self.id, self.gauges, self.runtime = "m", self, self
 
     def set_load(self, *, n, lag):
         pass
@@ -48,7 +54,7 @@
         return self.link_
 
     def finish(self, *, s, o):
-        callback = self.slab.take(i=s[0], g=s[1])
+        callback = self.pending_requests.take(index=s[0], generation=s[1])
         if callback is not None:
             callback(o)
 
@@ -63,7 +69,7 @@
             op=op, request={}, wait=wait, callback=lambda result: answers.append((result, loop.vt))
         )
         then(mast)
-        while not answers and mast.slab.n:
+        while not answers and mast.pending_requests.n:
             await asyncio.sleep(0.01)
         free()
 
@@ -73,7 +79,7 @@
 
 def test_it_goes_on_until_a_primary_answers():
     mast, (result, answered_at) = play([P.NotPrimary(), P.CircuitDown(), None, P.Success(value={"x": 1})])
-    assert result.value == {"x": 1} and mast.link_.sent == 4 and mast.slab.n == 0
+    assert result.value == {"x": 1} and mast.link_.sent == 4 and mast.pending_requests.n == 0
 
 
 @pytest.mark.parametrize(
@@ -116,5 +122,7 @@
 
 
 def test_a_client_that_goes_away_frees_its_slot():
-    mast, out = play([P.NotPrimary()] * 99, then=lambda mast: mast.slab.take(i=0, g=0))
-    assert out is None and mast.slab.n == 0
+    mast, out = play(
+        [P.NotPrimary()] * 99, then=lambda mast: mast.pending_requests.take(index=0, generation=0)
+    )
+    assert out is None and mast.pending_requests.n == 0
--- a/tests/test_reservations_record.py
+++ b/tests/test_reservations_record.py
@@ -227,6 +227,6 @@
 def test_bad_bodies_are_refused_with_the_field(kw):
     with pytest.raises(Raised) as raised:
         check_reservation(body(**kw))
-    assert raised.value.problem.errors
+    assert raised.value.failure.errors
     with pytest.raises(Raised):
         check_shorter({"count": 0} if "count" in kw else {})
--- a/tests/test_reservations_unused.py
+++ b/tests/test_reservations_unused.py
@@ -11,7 +11,7 @@
         got["x"] = await operator.reserve(name="x", body=reserved_world.body(), tries=1)
 
     world = reserved_world.play(
-        24, steps=steps, crowded=False, reserved=False, end=10, begin=9, params={"level": 2}
+        24, steps=steps, crowded=False, reserved=False, end=10, begin=9, settings={"level": 2}
     )
     clean(world)
     assert got["x"][0] == 503 and got["x"][1]["problem"] == "NotSynced"
--- a/tests/test_reserving.py
+++ b/tests/test_reserving.py
@@ -20,9 +20,9 @@
     def __init__(self, **kw):
         self.record, self.said = made(**kw), []
         self.record.charter = {"version": 2, "rows": ROWS, "at": 0}
-        self.params, self.slow, self.lane_ms = SimpleNamespace(far_times=2), {}, {}
+        self.settings, self.slow, self.lane_ms = SimpleNamespace(far_times=2), {}, {}
         self.sessions, self.work = {}, SimpleNamespace(set=lambda: None)
-        self.seam = SimpleNamespace(now=lambda: 0.0, spend=lambda s: 0.0)
+        self.runtime = SimpleNamespace(now=lambda: 0.0, spend=lambda s: 0.0)
         self.open_place()
 
     def clock_ms(self):
--- a/tests/test_restore.py
+++ b/tests/test_restore.py
@@ -24,7 +24,7 @@
         await operator.found(lanes=world.shape.lanes)
         world.add_crew()
         await client.run(mix=world.shape.mix, seconds=6, settle=8)
-        params = world.nodes["almanac-1"].daemon.params
+        params = world.nodes["almanac-1"].daemon.settings
         record = world.nodes["almanac-1"].daemon.record
         seen["before"] = {member: j.state for member, j in record.jobs.items()}, record.charter
         for member in ("almanac-1", "almanac-2", "almanac-3"):
@@ -33,13 +33,13 @@
         world.disks["core-2"].lose()
         world.disks["core-3"].lose()
         disk = world.disks["core-1"]
-        seen["seen"] = await restore(disk=disk, params=params, write=False)
-        seen["again"] = await restore(disk=disk, params=params, write=False)
+        seen["seen"] = await restore(disk=disk, settings=params, write=False)
+        seen["again"] = await restore(disk=disk, settings=params, write=False)
         world.start("almanac-1")
         await asyncio.sleep(4)
         seen["alone"] = world.who("almanac", "leader")
         world.kill("almanac-1")
-        seen["written"] = await restore(disk=disk, params=params, write=True)
+        seen["written"] = await restore(disk=disk, settings=params, write=True)
         world.start("almanac-1")
         await asyncio.sleep(6)
         seen["leads"] = world.who("almanac", "leader")
@@ -71,9 +71,9 @@
 @pytest.mark.parametrize("hard", [None, {"t": 3, "v": "", "m": False}])
 def test_a_disk_without_a_member_is_refused(hard):
     from hollowhall.almanac.ring import Ring
-    from hollowhall.base.params import Params
+    from hollowhall.base.params import DaemonSettings
 
-    disk, params = SimDisk(rng=random.Random(1)), Params(id="a", addr="10.0.0.1:7000", seeds=[])
+    disk, params = SimDisk(rng=random.Random(1)), DaemonSettings(id="a", addr="10.0.0.1:7000", seeds=[])
 
     async def scenario():
         if hard:
@@ -81,7 +81,7 @@
             ring.load()
             await ring.put(hard=hard, es=[])
         with pytest.raises(Raised) as caught:
-            await restore(disk=disk, params=params, write=True)
-        return caught.value.problem
+            await restore(disk=disk, settings=params, write=True)
+        return caught.value.failure
 
     assert isinstance(asyncio.run(scenario()), Refused)
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -87,7 +87,7 @@
     disk.files["ring-00"].safe[HEAD.size + 9] ^= 1
     with pytest.raises(Raised) as caught:
         open_log(disk)
-    assert isinstance(caught.value.problem, DiskDamage)
+    assert isinstance(caught.value.failure, DiskDamage)
 
 
 def test_damage_in_the_first_frame_of_a_later_file_is_refused():
@@ -99,7 +99,7 @@
     disk.files[f"ring-{log.current:02d}"].safe[HEAD.size + 5] ^= 1
     with pytest.raises(Raised) as caught:
         open_log(disk, files=4, size=1200)
-    assert isinstance(caught.value.problem, DiskDamage)
+    assert isinstance(caught.value.failure, DiskDamage)
 
 
 def test_many_laps_with_snapshots():
@@ -122,7 +122,7 @@
     with pytest.raises(Raised) as caught:
         for index in range(1, 200):
             put(log, entries(index, index + 1, size=100))
-    assert "full" in caught.value.problem.why
+    assert "full" in caught.value.failure.why
 
 
 def test_a_damaged_snapshot_is_refused():
@@ -135,4 +135,4 @@
     disk.wholes["snap"] = bytes(data)
     with pytest.raises(Raised) as caught:
         open_log(disk)
-    assert caught.value.problem.file == "snap"
+    assert caught.value.failure.file == "snap"
--- a/tests/test_round_time.py
+++ b/tests/test_round_time.py
@@ -14,7 +14,7 @@
 from hollowhall.record.charter import check_job
 
 
-class Seam:
+class Runtime:
     """A clock that advances by the reported work, scaled by `times`, and by `tick` s on each reading."""
 
     def __init__(self, times=1.0, tick=0.0):
@@ -45,9 +45,9 @@
 
 def desk_over(record, *, times=1.0):
     desk = PaceDesk(record)
-    desk.seam, desk.woken = Seam(times), 0
+    desk.runtime, desk.woken = Runtime(times), 0
     desk.work = Bag(set=lambda: setattr(desk, "woken", desk.woken + 1))
-    desk.t = 2.0 + constants.STARVE_MS / 1000
+    desk.t = 2.0 + constants.STARVATION_MS / 1000
     return desk
 
 
@@ -56,9 +56,9 @@
     tasks started)."""
     durations, started = [], []
     while not durations or desk.last_round.cut_short:
-        before = desk.seam.t
-        events = desk.place_all(most=constants.TURN_EVENTS)
-        durations.append(desk.seam.t - before)
+        before = desk.runtime.t
+        events = desk.place_all(most=constants.BATCH_EVENTS_MAX)
+        durations.append(desk.runtime.t - before)
         started += [event[1] for event in events if event[0] == "grant"]
         desk.record.do(*events, ms=desk.clock_ms())
         desk.t += 0.05
@@ -69,7 +69,10 @@
 def test_a_round_over_a_backlog_of_gangs_keeps_the_loop_for_a_moment_only():
     desk = desk_over(backlog(), times=85.0)
     durations, _ = rounds(desk)
-    assert sum(durations) > constants.ELECT_MIN and max(durations) < constants.ELECT_MIN / 2, durations
+    assert (
+        sum(durations) > constants.ELECTION_TIMEOUT_MIN
+        and max(durations) < constants.ELECTION_TIMEOUT_MIN / 2
+    ), durations
     assert desk.woken == len(durations) - 1  # the batch loop is woken for the rest
 
 
@@ -82,8 +85,8 @@
 
 def test_a_round_that_has_no_time_left_places_one_step_all_the_same():
     desk = desk_over(backlog(gangs=0))
-    desk.seam.tick = 2 * constants.ROUND_S
-    desk.place_all(most=constants.TURN_EVENTS)
+    desk.runtime.tick = 2 * constants.PLACEMENT_ROUND_MAX_S
+    desk.place_all(most=constants.BATCH_EVENTS_MAX)
     assert desk.last_round.cut_short and len(desk.last_round.out) == 1
 
 
@@ -94,13 +97,13 @@
         looked.append(attempt.run)
         return 500
 
-    Round(rec=record, now=2000 + constants.STARVE_MS, most=99, left_ms=left_ms).run()
+    Round(rec=record, now=2000 + constants.STARVATION_MS, most=99, left_ms=left_ms).run()
     assert len(looked) == len(set(looked)) == 60
 
 
 def test_time_that_passes_and_time_that_is_told_both_count():
-    seam = Seam()
-    round_time = RoundTime(seam=seam, most=1.0)
+    seam = Runtime()
+    round_time = RoundTime(runtime=seam, most=1.0)
     seam.t += 0.6
     assert not round_time.over()
     round_time.spend(s=0.5)
@@ -111,7 +114,7 @@
     # the next round starts after twice that time, so heartbeats get two thirds of the loop, however long the
     # backlog
     desk = desk_over(backlog(), times=60.0)
-    before = desk.seam.t
-    desk.place_all(most=constants.TURN_EVENTS)
-    assert desk.last_round.cut_short and abs(desk.last_round_s - (desk.seam.t - before)) < 1e-6
-    assert constants.ROUND_REST * desk.last_round_s > constants.TURN_GAP
+    before = desk.runtime.t
+    desk.place_all(most=constants.BATCH_EVENTS_MAX)
+    assert desk.last_round.cut_short and abs(desk.last_round_s - (desk.runtime.t - before)) < 1e-6
+    assert constants.PLACEMENT_PAUSE_FACTOR * desk.last_round_s > constants.BATCH_INTERVAL_MIN
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -123,7 +123,7 @@
 def test_bad_options_are_refused_with_their_names(change, key):
     with pytest.raises(Raised) as e:
         plan(**change)
-    assert key in [k for k, _ in e.value.problem.errors], e.value.problem
+    assert key in [k for k, _ in e.value.failure.errors], e.value.failure
 
 
 def test_no_run_may_take_more_than_its_processes(monkeypatch):
@@ -133,7 +133,7 @@
     monkeypatch.setattr(S, "PROCESSES_MOST", 40)
     with pytest.raises(Raised) as e:
         plan(**big)
-    assert "processes" in e.value.problem.errors[0][1]
+    assert "processes" in e.value.failure.errors[0][1]
 
 
 def test_the_command_refuses_with_2_and_a_typed_error():
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -5,18 +5,18 @@
 import asyncio
 
 import pytest
-from test_hall import Halls, up
+from test_hall import ControllerWorld, all_members_up
 
 MOST = 1.6  # s; lease, election and one batch; detecting the silence first took 1.5 s more
 
 
 def gap(*, seed, halls, how):
     """Seconds of virtual time until another scheduler is primary, after the primary's machine falls silent."""
-    world, out = Halls(seed=seed, n=halls), {}
+    world, out = ControllerWorld(seed=seed, n=halls), {}
 
     async def go():
         world.start_all()
-        await world.until(up(world, halls))
+        await world.until(all_members_up(world, halls))
         await asyncio.sleep(2 + seed * 0.13)
         primary = world.primary()
         silent = next(
--- a/tests/test_tenant_shares.py
+++ b/tests/test_tenant_shares.py
@@ -11,7 +11,7 @@
 from hollowhall.desk.tenant_turns import TenantTurns
 from hollowhall.record.charter import check_job
 
-LONG_MS = constants.STARVE_MS + 1000
+LONG_MS = constants.STARVATION_MS + 1000
 
 
 class Rounds(TenantStore):
@@ -146,7 +146,7 @@
     rounds.job_of("t", "small", tasks=2, room={"cores": 1000, "gpus": 2})
     rounds.grant_round()
     rounds.job_of("t", "gang", tasks=2, gang=True, room={"cores": 1000, "gpus": 2})
-    rounds.grant_round(after_ms=constants.GANG_STARVE_MS + 1)
+    rounds.grant_round(after_ms=constants.GANG_STARVATION_MS + 1)
     assert rounds.steps_with_turn() == {"t": ("gang", "0.0")}
     rounds.job_of("t", "plain", tasks=3)
     rounds.end("small/0.0/0")
--- a/tests/test_tenants_http.py
+++ b/tests/test_tenants_http.py
@@ -33,7 +33,7 @@
 
 
 def play(steps):
-    world = World(seed=4, shape=SHAPES["cymylau"], masts=2, params={"level": constants.LEVEL})
+    world = World(seed=4, shape=SHAPES["cymylau"], masts=2, settings={"level": constants.LEVEL})
 
     async def go():
         world.start_all()
@@ -89,7 +89,7 @@
     async def steps(world, caller, version):
         for n in range(6):
             await caller.send(f"j{n}", lane=lane_of(world), key=SECRET)
-        await asyncio.sleep(constants.REFILL_S + 0.5)
+        await asyncio.sleep(constants.REFILL_PERIOD + 0.5)
         status, body = await caller.ask("GET", "/v1/tenants")
         tenant = body["tenants"]["t"]
         assert (
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -44,8 +44,8 @@
             {
                 "files": {name: packed(file.safe) for name, file in disk.files.items()},
                 "snap": packed(disk.wholes["snap"]),
-                "size": member.params.ring_bytes,
-                "n": member.params.ring_files,
+                "size": member.settings.ring_bytes,
+                "n": member.settings.ring_files,
                 "term": member.term,
                 "last": member.last(),
                 "applied": member.applied,
--- a/tests/weak.py
+++ b/tests/weak.py
@@ -56,7 +56,7 @@
     def on_beat(self, *, request, callback, caller):
         super().on_beat(request=request, callback=callback, caller=caller)
         if request["id"] in self.sessions:
-            self.sessions[request["id"]].until = self.seam.now() + 1.0
+            self.sessions[request["id"]].until = self.runtime.now() + 1.0
 
 
 class AllAtOnce(Record):
@@ -190,7 +190,7 @@
     async def follow_charter(self):
         while True:
             outcome = await self.near(op="charter", request={"version": self.charter["version"]}, wait=6.0)
-            await asyncio.sleep(3.0 * self.seam.rng.random())
+            await asyncio.sleep(3.0 * self.runtime.rng.random())
             if outcome.ok and outcome.value is not None:
                 self.charter = outcome.value
 
--- a/tests/weak_parts.py
+++ b/tests/weak_parts.py
@@ -68,7 +68,7 @@
     def on_beat(self, *, request, callback, caller):
         super().on_beat(request=request, callback=callback, caller=caller)
         if request["id"] in self.sessions:
-            self.sessions[request["id"]].until -= constants.WORKER_MARGIN
+            self.sessions[request["id"]].until -= constants.WORKER_LEASE_MARGIN
 
 
 class StaleLeases(Desk):
@@ -77,7 +77,7 @@
     def start_beats(self):
         super().start_beats()
         for session in self.sessions.values():
-            session.until = self.seam.now() + 0.5
+            session.until = self.runtime.now() + 0.5
 
 
 class UnconfirmedReads(Almanac):
@@ -170,7 +170,7 @@
     """Places by the configuration of 8 s ago."""
 
     def place_all(self, *, most, **options):
-        now, configuration = self.seam.now(), self.record.charter
+        now, configuration = self.runtime.now(), self.record.charter
         self.past = [version for version in getattr(self, "past", []) if now - version[0] < 8] + [
             (now, configuration)
         ]
@@ -197,10 +197,10 @@
 
     async def watchdog(self):
         while True:
-            await asyncio.sleep(constants.WATCHDOG)
+            await asyncio.sleep(constants.LEADER_CHECK_PERIOD)
             if self.blank:
                 await self.unblank()
-            elif self.rank != "leader" and self.seam.now() - self.election_timer_start > (
+            elif self.rank != "leader" and self.runtime.now() - self.election_timer_start > (
                 1.0 if self.term == 0 else 30.0
             ):
                 await self.campaign()
@@ -221,7 +221,7 @@
     def on_stamp(self, *, request, callback, caller, tries=0):
         def then(outcome):
             if outcome.ok:
-                self.seam.world.hist.note("stamp", first=outcome.value["first"], n=outcome.value["n"])
+                self.runtime.world.hist.note("stamp", first=outcome.value["first"], n=outcome.value["n"])
             callback(outcome)
 
         super().on_stamp(request=request, callback=callback if tries else then, caller=caller, tries=tries)
@@ -238,9 +238,9 @@
     """Starts at its own wall clock, whatever was issued before."""
 
     async def clock_sync(self, leadership):
-        ms = self.seam.wall()
-        leadership.anchor = (ms, self.seam.now())
-        if not await self.clock_save(leadership=leadership, bound=ms + constants.SAVE_MS):
+        ms = self.runtime.wall()
+        leadership.anchor = (ms, self.runtime.now())
+        if not await self.clock_save(leadership=leadership, bound=ms + constants.BOUND_AHEAD_MS):
             return False
         leadership.physical, leadership.logical, leadership.synced = ms, 0, True
         return True
--- a/tests/weak_replicas.py
+++ b/tests/weak_replicas.py
@@ -21,7 +21,7 @@
     """The majority is that of the founders, however many members there are now."""
 
     def majority(self):
-        return len(self.params.seeds) // 2 + 1
+        return len(self.settings.seeds) // 2 + 1
 
 
 class HurriedNewcomer(ModelReplica):
@@ -37,7 +37,7 @@
 
     def advance(self):
         for peer in self.voter_peers if self.rank == LEADER else ():
-            if peer not in self.params.seeds:
+            if peer not in self.settings.seeds:
                 self.match[peer] = self.last()
         super().advance()
 
@@ -160,4 +160,8 @@
     """A membership change counts as contact with a majority."""
 
     def out_of_touch(self):
-        return self.quorum_age() > constants.TOUCH if self.rank == LEADER else super().out_of_touch()
+        return (
+            self.quorum_age() > constants.LEADER_CONTACT_MAX_AGE
+            if self.rank == LEADER
+            else super().out_of_touch()
+        )
