--- a/hollowhall/desk/__init__.py
+++ b/hollowhall/desk/__init__.py
@@ -12,7 +12,7 @@
 from .beats import BeatsMixin
 from .budget_requests import BudgetRequestsMixin
 from .leaving import LeavingMixin
-from .outcomes import OutcomesMixin
+from .outcomes import JobRequestsMixin
 from .pace import PaceMixin
 from .placing import PlaceMixin
 from .policy import read_policy
@@ -20,7 +20,7 @@
 from .record_tail import RecordTailMixin
 from .reservation_requests import ReservationRequestsMixin
 from .trace import TraceMixin
-from .turns import TurnsMixin
+from .turns import BatchesMixin
 
 PRIMARY_KEY, NEXT_KEY = "desk/primary", "desk/next"
 TAILING, OPENING, PRIMARY = "tailing", "opening", "primary"
@@ -32,10 +32,10 @@
     PaceMixin,
     TraceMixin,
     PrimaryMixin,
-    TurnsMixin,
+    BatchesMixin,
     PlaceMixin,
     BeatsMixin,
-    OutcomesMixin,
+    JobRequestsMixin,
     ReservationRequestsMixin,
     BudgetRequestsMixin,
     MonitoringMixin,
@@ -57,12 +57,12 @@
         self.policy = read_policy(off=settings.policy_off)
         self.record, self.applied = self.make_record(), 0
         self.part, self.epoch, self.hold, self.until = TAILING, 0, 0, 0.0
-        self.primary, self.checksums, self.loaded = "", {}, 0
+        self.primary, self.checksums, self.snapshot_index = "", {}, 0
         self.snapshot_chunks = None  # a snapshot that arrives in chunks: (its identity, bytes so far)
-        self.windows = {}  # worker: whether each of its last attempts failed
+        self.recent_failures = {}  # worker: whether each of its last attempts failed
 
     async def open(self):
-        self.open_turns()
+        self.open_batches()
         self.open_place()
         self.open_pace()
         self.open_trace()
@@ -89,7 +89,7 @@
 
     # --- the standby
 
-    def note_turn(self, batch):
+    def note_batch(self, batch):
         """Takes note of a batch's events before they are applied to the record."""
         ms = batch["s"] >> constants.LOGICAL_BITS
         self.note_ends(batch["v"])
@@ -126,18 +126,18 @@
                 await asyncio.sleep(constants.KEEPALIVE_PERIOD)
                 continue
             self.held_back = False
-            await self.first_go()
-            if not self.can_open():
+            await self.defer_campaign()
+            if not self.can_read_all():
                 await asyncio.sleep(constants.KEEPALIVE_PERIOD)
                 continue
             await self.campaign()
 
     held_back = False
 
-    async def first_go(self):
+    async def defer_campaign(self):
         """Lets a scheduler that is better placed campaign first; a separate process has no preference."""
 
-    def can_open(self):
+    def can_read_all(self):
         """Whether this scheduler could read all confirmed entries if it became primary."""
         return True
 
--- a/hollowhall/desk/beats.py
+++ b/hollowhall/desk/beats.py
@@ -12,18 +12,18 @@
 from ..base.problems import BadInput, Success
 from ..base.slab import PendingRequests
 from ..record.kinds import LEAVES, LOST
-from .care import CareMixin
+from .care import WorkerChecksMixin
 from .orders import OrdersMixin
 from .reports import ReportsMixin
 from .worker_session import ReportedEnd, WorkerSession
 
 
-class BeatsMixin(ReportsMixin, CareMixin, OrdersMixin):
+class BeatsMixin(ReportsMixin, WorkerChecksMixin, OrdersMixin):
     """Receives and answers heartbeats, and queues what they report for the record."""
 
     def open_beats(self):
         # `judged` holds the share of failures of each worker at the time it was set aside
-        self.sessions, self.beat_slab, self.judged = (
+        self.sessions, self.beat_slab, self.aside_failure_share = (
             {},
             PendingRequests(capacity=constants.PENDING_REQUESTS_PER_CONNECTION),
             {},
@@ -75,25 +75,25 @@
             callback(BadInput(errors=[["seq", "a later beat was heard before this one"]]))
             return
         session.since = now if session.seq < 0 else session.since
-        session.seq, session.heard, session.until = request["seq"], now, now + self.lease_s()
-        session.named = "named" in request
-        if session.named:
+        session.seq, session.last_beat_at, session.until = request["seq"], now, now + self.lease_s()
+        session.names_attempts = "named" in request
+        if session.names_attempts:
             request = request | {"ended": self.read_report(request=request, session=session, worker=worker)}
         else:
             session.running = set(request["running"])
         if worker is None or worker.boot != request["boot"]:
             if not request.get("bye"):  # a departing worker need not be registered
-                self.announce(request=request, session=session)
+                self.register_worker(request=request, session=session)
         else:
-            self.take_ends(request=request, session=session, worker=worker)
+            self.take_report(request=request, session=session, worker=worker)
         if session.slot is not None:
             self.answer_beat(worker_id=worker_id, session=session)
         session.leave_requested = bool(request.get("leaves"))
         if session.leave_requested and worker is not None and worker.state != LEAVES:
-            self.hold_event(event=["leave", worker_id, request["boot"]], callback=lambda result, stamp: None)
+            self.queue_event(event=["leave", worker_id, request["boot"]], callback=lambda result, stamp: None)
         session.slot = self.beat_slab.put(callback=callback)
         if session.slot is None:
-            callback(self.beat_outcome(worker_id=worker_id, session=session))
+            callback(self.beat_answer(worker_id=worker_id, session=session))
         elif session.answer_at_once or self.has_new_orders(worker_id=worker_id, session=session):
             session.answer_at_once = False
             self.answer_beat(worker_id=worker_id, session=session)
@@ -121,7 +121,7 @@
         def then(result, stamp):
             callback(Success(value={}) if stamp is not None else self.not_primary())
 
-        self.hold_event(event=["leave", request["id"], request["boot"]], callback=then)
+        self.queue_event(event=["leave", request["id"], request["boot"]], callback=then)
 
     def answer_delay_s(self, session):
         """Seconds for which a beat without news is held before it is answered."""
@@ -129,7 +129,7 @@
             return constants.DEPARTURE_ACK_TIMEOUT
         return (
             constants.HEARTBEAT_ANSWER_DELAY_BUSY
-            if session.named and session.running and not session.ends
+            if session.names_attempts and session.running and not session.ends
             else constants.HEARTBEAT_ANSWER_DELAY
         )
 
@@ -137,19 +137,19 @@
         """Answers a waiting beat HEARTBEAT_ANSWER_DELAY_ENDS seconds after its report is recorded, so that the answer can hold
         a new start as well."""
         slot = session.slot
-        if slot is not None and session.named:
+        if slot is not None and session.names_attempts:
             asyncio.get_running_loop().call_later(
                 constants.HEARTBEAT_ANSWER_DELAY_ENDS,
                 lambda: session.slot == slot and self.answer_beat(worker_id=worker_id, session=session),
             )
 
-    def announce(self, *, request, session):
+    def register_worker(self, *, request, session):
         """Registers a new worker or boot. A boot that would end another boot's attempts must beat twice, so
         that one delayed beat of a boot that is gone, as after a freeze, ends nothing."""
-        if request["id"] in self.record.workers and not session.greeted:
-            session.greeted = session.answer_at_once = True
+        if request["id"] in self.record.workers and not session.boot_heard:
+            session.boot_heard = session.answer_at_once = True
             return
-        if session.status_pending or session.named and self.record.level < 2:
+        if session.status_pending or session.names_attempts and self.record.level < 2:
             return  # a record of an older level would lose the worker's labels
         session.status_pending = True
 
@@ -160,7 +160,7 @@
                 self.work.set()
                 self.answer_soon(worker_id=request["id"], session=session)
 
-        self.hold_event(
+        self.queue_event(
             callback=then,
             event=[
                 "worker",
@@ -180,7 +180,7 @@
             return [request.get("keepsHold", False)] if self.record.level else []
         return [request.get("keepsHold", False), request["labels"]]
 
-    def take_ends(self, *, request, session, worker):
+    def take_report(self, *, request, session, worker):
         """Queues what a registered worker's beat reports: whether it stops its tasks when its lease expires,
         its return after it was lost, its ends and its departure."""
         if (
@@ -189,7 +189,7 @@
             and not session.status_pending
         ):
             session.status_pending = True
-            self.hold_event(
+            self.queue_event(
                 event=["keeps", worker.id, worker.boot, not worker.keeps],
                 callback=lambda result, stamp: setattr(session, "status_pending", False),
             )
@@ -201,7 +201,7 @@
                 if stamp is not None and result[0] == "ok":
                     self.say(log_events.WORKER_BACK, worker=worker.id, legs=len(worker.runs))
 
-            self.hold_event(event=["back", worker.id, worker.boot], callback=then)
+            self.queue_event(event=["back", worker.id, worker.boot], callback=then)
         for run, how, why, *saved in request["ended"]:
             if run in self.record.legs:
                 session.report_end(
@@ -209,7 +209,7 @@
                 )
         self.queue_ends(worker_id=worker.id, session=session)
         session.departed = session.departed or bool(
-            request.get("bye") and (session.named or worker.state == LEAVES and not worker.runs)
+            request.get("bye") and (session.names_attempts or worker.state == LEAVES and not worker.runs)
         )
         self.queue_departure(worker_id=worker.id, session=session)
 
@@ -218,7 +218,7 @@
         for run, end in session.ends.items():
             if not end.queued:
                 end.queued = True
-                self.hold_event(
+                self.queue_event(
                     event=end.event(run),
                     callback=self.settled_callback(worker_id=worker_id, session=session, run=run),
                 )
@@ -243,9 +243,9 @@
         """Records a departed worker as lost once all its reported ends are recorded."""
         if session.departed and not session.ends:
             session.departed = False
-            self.hold_event(
+            self.queue_event(
                 event=["lost", worker_id, session.boot, session.saved]
-                if session.named
+                if session.names_attempts
                 else ["lost", worker_id, session.boot]
             )
 
@@ -265,16 +265,16 @@
             for order in starts + stops
         )
 
-    def beat_outcome(self, *, worker_id, session):
+    def beat_answer(self, *, worker_id, session):
         """The answer to a worker's beat; NotPrimary where nothing may be told it now."""
-        if not self.live() or session.going:  # its attempts may end in the batch in flight
+        if not self.live() or session.lost_pending:  # its attempts may end in the batch in flight
             return self.not_primary()
         starts, stops = self.orders(worker_id=worker_id, session=session)
         now, worker = self.runtime.now(), self.record.workers.get(worker_id)
         session.orders_sent = {order: now for order in starts + stops + session.unknown_attempts}
         if session.leave_requested and (worker is None or worker.state != LEAVES):
             return self.not_primary()  # a leave is acknowledged once it is recorded
-        if session.named:
+        if session.names_attempts:
             return Success(
                 value=self.named_answer(worker=worker, session=session, starts=starts, stops=stops)
             )
@@ -299,7 +299,7 @@
         callback = self.beat_slab.take(index=session.slot[0], generation=session.slot[1])
         session.slot = None
         if callback is not None:
-            callback(self.beat_outcome(worker_id=worker_id, session=session))
+            callback(self.beat_answer(worker_id=worker_id, session=session))
 
     @in_section("news")
     def news(self):
--- a/hollowhall/desk/budget_requests.py
+++ b/hollowhall/desk/budget_requests.py
@@ -14,7 +14,7 @@
     def on_refill(self, *, request, callback, caller):
         """request: life, seq, have and rows as the record's event takes them, and counts since the daemon's
         start, {tenant: [admitted, refused]}. Answers with the tokens by tenant once they are recorded."""
-        if not self.ready_to(callback):
+        if not self.check_primary(callback):
             return
         if not self.record.rule["tenants"]:
             callback(NotSynced(tries=0))
@@ -24,13 +24,13 @@
         def back(result, stamp):
             callback(result if stamp is None else Success(value={"granted": result[1]}))
 
-        self.hold_event(
+        self.queue_event(
             event=["refill", request["life"], request["seq"], request["have"], request["rows"]], callback=back
         )
 
     def on_tenants(self, *, request, callback, caller):
         """The view of every tenant, by name."""
-        if self.ready_to(callback):
+        if self.check_primary(callback):
             self.forget_admissions()
             callback(Success(value={"tenants": self.tenants_view()}))
 
--- a/hollowhall/desk/care.py
+++ b/hollowhall/desk/care.py
@@ -14,7 +14,7 @@
 from .worker_session import WorkerSession
 
 
-class CareMixin(ProbationMixin):
+class WorkerChecksMixin(ProbationMixin):
     """Monitors workers and runs the periodic checks of the primary."""
 
     def note_ends(self, events):
@@ -27,9 +27,9 @@
             if attempt is not None and not self.record.jobs[attempt.job].steps[attempt.step].spec.get(
                 "forever"
             ):
-                self.windows.setdefault(attempt.worker, deque(maxlen=constants.WORKER_ENDS_KEPT)).append(
-                    event[2] == "bad"
-                )
+                self.recent_failures.setdefault(
+                    attempt.worker, deque(maxlen=constants.WORKER_ENDS_KEPT)
+                ).append(event[2] == "bad")
 
     def on_leave(self, *, request, callback, caller):
         """Records that a worker leaves: it gets no new attempts."""
@@ -45,11 +45,11 @@
                 self.say(log_events.WORKER_LEAVES, worker=request["id"])
             callback(Success(value={"result": result[0], "stamp": str(stamp)}))
 
-        self.hold_event(event=["leave", request["id"], request["boot"]], callback=then)
+        self.queue_event(event=["leave", request["id"], request["boot"]], callback=then)
 
     def lost(self, worker_id, session, result, stamp):
         """The callback for a `lost` event."""
-        session.status_pending = session.going = False
+        session.status_pending = session.lost_pending = False
         if stamp is not None and result[0] == "waits":
             self.say(log_events.WORKER_LONE, worker=worker_id, legs=result[1])
         elif stamp is not None and result[0] == "ok":
@@ -86,11 +86,11 @@
                         else Unknown(what="worker", id=worker_id)
                     )
 
-            self.hold_event(event=["gone", worker_id, worker.boot], callback=then)
+            self.queue_event(event=["gone", worker_id, worker.boot], callback=then)
 
     waits_logged_at = 0.0  # s; by our clock
 
-    def say_waits(self, *, now, ms):
+    def log_long_waits(self, *, now, ms):
         """Logs why steps wait longer than LONG_WAIT_MS: a few of them, at most every LONG_WAITS_LOG_INTERVAL seconds."""
         if now - self.waits_logged_at < constants.LONG_WAITS_LOG_INTERVAL:
             return
@@ -116,10 +116,10 @@
         while True:
             await asyncio.sleep(constants.ENDED_JOBS_CHECK_PERIOD)
             if self.live():
-                self.look_after(now=self.runtime.now(), ms=self.clock_ms())
+                self.check_workers(now=self.runtime.now(), ms=self.clock_ms())
 
     @in_section("look_after")
-    def look_after(self, *, now, ms):
+    def check_workers(self, *, now, ms):
         """One round of checks: expired leases, starts that never happened, progress, probation, run limits
         and records that are old enough to be forgotten."""
         for worker_id, worker in list(self.record.workers.items()):
@@ -132,38 +132,40 @@
                 and not session.ends
                 and worker.state != LOST
             ):
-                session.status_pending = session.going = True
+                session.status_pending = session.lost_pending = True
                 saved = {key: checkpoint for key, checkpoint in session.saved.items() if checkpoint}
-                self.hold_event(
+                self.queue_event(
                     event=["lost", worker_id, worker.boot] + ([saved] if saved else []),
                     callback=partial(self.lost, worker_id, session),
                 )
-            for run in self.never_began(session=session, worker=worker) if session.named else ():
+            for run in self.never_began(session=session, worker=worker) if session.names_attempts else ():
                 session.ending.add(run)
-                self.hold_event(
+                self.queue_event(
                     event=["end", run, "stopped", NEVER_BEGAN],
                     callback=lambda result, stamp, session=session, run=run: session.ending.discard(run),
                 )
         self.look_at_pace(now=now, ms=ms)
         self.copy_silent(now=now, ms=ms)
-        self.move_in_time(now=now, ms=ms)
-        self.say_waits(now=now, ms=ms)
+        self.stop_before_departure(now=now, ms=ms)
+        self.log_long_waits(now=now, ms=ms)
         self.lift_probation()
-        self.lift_needed(ms=ms)
-        self.look_at_health(ms=ms)
-        for worker_id in [worker_id for worker_id in self.windows if worker_id not in self.record.workers]:
-            del self.windows[worker_id]
+        self.retry_needed_workers(ms=ms)
+        self.check_health(ms=ms)
+        for worker_id in [
+            worker_id for worker_id in self.recent_failures if worker_id not in self.record.workers
+        ]:
+            del self.recent_failures[worker_id]
         for attempt in self.record.legs.values():
             limit_ms = self.record.jobs[attempt.job].steps[attempt.step].spec["runMs"]
             if limit_ms and not attempt.stop and ms > (attempt.run >> constants.LOGICAL_BITS) + limit_ms:
-                self.hold_event(event=["stop", attempt.run, "limit"])
+                self.queue_event(event=["stop", attempt.run, "limit"])
         if (
             self.record.ended
             and (self.record.ended[0][0] >> constants.LOGICAL_BITS) + self.record.rule["readable_ms"] < ms
             or self.record.reservations
             and self.record.old_reservations(now=ms)
         ):
-            self.hold_event(event=["forget"])
+            self.queue_event(event=["forget"])
         for worker_id in [
             worker_id
             for worker_id in self.sessions
--- a/hollowhall/desk/health.py
+++ b/hollowhall/desk/health.py
@@ -25,7 +25,7 @@
     updated_ms: int = 0  # when `evidence` was last decayed, or a relapse forgotten
     aside_until_ms: int = 0  # end of its time aside
     slow_seen_ms: int = 0  # the last sign that its attempts go too slowly
-    times: int = 0  # how often it was set aside lately
+    relapses: int = 0  # how often it was set aside lately
     trial_successes: int = 0  # successes since the trial began
     last_success_ms: int = 0  # when its last success ended
     generation: int = 0  # rises when a trial begins or it is cleared: older results no longer count
@@ -50,7 +50,7 @@
         health = self.health_of(worker_id)
         assert state in MOVES[health.state], (worker_id, health.state, state)
         if state == ASIDE:
-            health.times, health.aside_until_ms = health.times + 1, until
+            health.relapses, health.aside_until_ms = health.relapses + 1, until
         else:
             health.evidence, health.trial_successes = (
                 (constants.EVIDENCE_SUSPECTED / 2, 0) if state == TRIAL else (health.evidence, 0)
@@ -62,7 +62,7 @@
     def probation_ms(self, worker_id):
         """For how many ms a worker is set aside now; twice as long with each relapse, up to a bound."""
         return min(
-            constants.PROBATION_MAX_MS, constants.PROBATION_MS << min(self.health_of(worker_id).times, 8)
+            constants.PROBATION_MAX_MS, constants.PROBATION_MS << min(self.health_of(worker_id).relapses, 8)
         )
 
     # --- evidence
@@ -88,7 +88,7 @@
         elif until > ms:
             health.aside_until_ms = until
         elif health.state == ASIDE:
-            health.times = max(0, health.times - 1)
+            health.relapses = max(0, health.relapses - 1)
             self.set_health_state(worker_id=worker_id, state=SOUND, ms=ms)
 
     def note_end(self, *, attempt, bad, ms):
@@ -172,7 +172,7 @@
             if health.evidence < constants.EVIDENCE_SUSPECTED and worker.flaky > ms and self.live():
                 health.evidence = constants.EVIDENCE_SUSPECTED
                 self.say(log_events.WORKER_CLEARED, worker=worker_id)
-                self.hold_event(event=["flaky", worker_id, 0])
+                self.queue_event(event=["flaky", worker_id, 0])
         elif health.evidence >= constants.EVIDENCE_SET_ASIDE:
             self.start_probation(worker=worker, ms=ms)
         elif health.evidence >= constants.EVIDENCE_SUSPECTED and health.state == SOUND:
@@ -182,25 +182,25 @@
 
     def start_probation(self, *, worker, ms):
         """Sets a worker aside and records its probation, unless too many of its kind are aside already."""
-        if not self.live() or not self.may_put_aside(worker):
+        if not self.live() or not self.may_set_aside(worker):
             return
         until = ms + self.probation_ms(worker.id)
-        ends = self.windows.get(worker.id) or (1,)
-        self.judged[worker.id] = max(constants.SICK_WORKER_FAILURE_RATE, sum(ends) / len(ends))
+        ends = self.recent_failures.get(worker.id) or (1,)
+        self.aside_failure_share[worker.id] = max(constants.SICK_WORKER_FAILURE_RATE, sum(ends) / len(ends))
         self.say(
             log_events.WORKER_FLAKY,
             worker=worker.id,
-            failed=round(self.judged[worker.id], 2),
+            failed=round(self.aside_failure_share[worker.id], 2),
             guilt=round(self.health_of(worker.id).evidence, 1),
             ms=until - ms,
         )
         self.set_health_state(worker_id=worker.id, state=ASIDE, ms=ms, until=until)
-        self.hold_event(event=["flaky", worker.id, until])
+        self.queue_event(event=["flaky", worker.id, until])
 
-    def note_pace_of(self, *, worker_id, ms):
+    def note_slow_worker(self, *, worker_id, ms):
         """Sets a worker aside whose attempts go far too slowly or stand still. Returns for how many ms after
         this sign; twice as long with each relapse, up to a bound."""
-        health, relapses = self.health_of(worker_id), self.health_of(worker_id).times
+        health, relapses = self.health_of(worker_id), self.health_of(worker_id).relapses
         span_ms = min(
             constants.PROBATION_MAX_MS,
             int(constants.SLOW_WORKER_ASIDE_S * 1000) << min(relapses - (health.state == ASIDE), 8),
@@ -224,7 +224,7 @@
         if self.health_of(worker_id).state == ASIDE:
             self.set_health_state(worker_id=worker_id, state=TRIAL, ms=ms)
 
-    def may_put_aside(self, worker):
+    def may_set_aside(self, worker):
         """Whether one more worker of this kind may be set aside; at most ASIDE_MAX_FRACTION of a kind is at once."""
         same_kind = [
             peer.id for peer in self.record.workers.values() if peer.kind == worker.kind and peer.state == UP
@@ -235,7 +235,7 @@
         )
         return aside_count < len(same_kind) * constants.ASIDE_MAX_FRACTION
 
-    def look_at_health(self, *, ms):
+    def check_health(self, *, ms):
         """Applies what passes with time: decay of evidence and relapses, and the end of times aside."""
         for worker_id in [worker_id for worker_id in self.health if worker_id not in self.record.workers]:
             del self.health[worker_id]
@@ -247,12 +247,12 @@
                 self.update_health(worker_id=worker_id, ms=ms)
             elif (
                 health.state == SOUND
-                and health.times
+                and health.relapses
                 and ms - health.updated_ms > constants.RELAPSE_FORGOTTEN_MS
             ):
-                health.times, health.updated_ms = health.times - 1, ms
+                health.relapses, health.updated_ms = health.relapses - 1, ms
 
-    def doubted(self):
+    def health_view(self):
         """The workers that placement treats differently: `doubt`, the suspected and those with a reported
         failure that is not recorded yet; `trials`; `aside`, with when that ends; `proven`, sound
         ones with a success in the last RECENT_SUCCESS_MS."""
--- a/hollowhall/desk/leaving.py
+++ b/hollowhall/desk/leaving.py
@@ -10,7 +10,7 @@
 class LeavingMixin:
     """Stops attempts that cannot end before their worker leaves; estimates how long attempts still need."""
 
-    def move_in_time(self, *, now, ms):
+    def stop_before_departure(self, *, now, ms):
         """Stops attempts that will not end before their worker leaves; of a gang, all members."""
         if not self.policy.rescue_leaving:
             return
@@ -33,9 +33,9 @@
                     continue  # it may go on for now: its last checkpoint will be handed over
                 for member in self.record.legs_of(job) if spec.get("gang") else [attempt]:
                     if member.step == attempt.step and not member.stop:
-                        self.hold_event(event=["stop", member.run, "leave"])
+                        self.queue_event(event=["stop", member.run, "leave"])
 
-    def left_ms_of(self, attempt):
+    def remaining_ms_of(self, attempt):
         """Estimated ms until an attempt ends, at least REMAINING_TIME_MIN_MS. One that has run past its estimate and
         reports no progress is taken to need OVERDUE_REMAINING_FRACTION of its age."""
         session = self.sessions.get(attempt.worker) or WorkerSession()
@@ -54,8 +54,8 @@
         if spec.get("forever"):
             return float("inf")
         usual_ms = self.lane_ms.get(attempt.lane) or spec.get("estimateMs") or constants.DEFAULT_TASK_MS
-        if attempt.run in session.far:
-            percent, _, first_percent, first_at = session.far[attempt.run]
+        if attempt.run in session.progress:
+            percent, _, first_percent, first_at = session.progress[attempt.run]
             age_ms = (now - first_at) * 1000
             if age_ms > constants.PROGRESS_MIN_AGE_MS and percent > first_percent:
                 return (100 - percent) * age_ms / (percent - first_percent)
@@ -63,5 +63,5 @@
         return max(
             0.0,
             usual_ms * self.stretch(attempt)
-            - (0 if attempt.run in session.far else ms - (attempt.run >> constants.LOGICAL_BITS)),
+            - (0 if attempt.run in session.progress else ms - (attempt.run >> constants.LOGICAL_BITS)),
         )
--- a/hollowhall/desk/orders.py
+++ b/hollowhall/desk/orders.py
@@ -15,7 +15,7 @@
         """(runs to start, runs to stop) for a worker now; stops only, if its session is outdated or it is
         being given up."""
         worker = self.record.workers.get(worker_id)
-        if worker is None or worker.boot != session.boot or session.going:
+        if worker is None or worker.boot != session.boot or session.lost_pending:
             return [], sorted(session.running)
         starts, stops = [], sorted(session.running - worker.runs.keys())
         for run, attempt in worker.runs.items():
@@ -47,7 +47,7 @@
         for member in self.record.gang_of(attempt):
             if not member.stop and member.run not in self.gangs_taken_back:
                 self.gangs_taken_back.add(member.run)
-                self.hold_event(
+                self.queue_event(
                     event=["stop", member.run, "tenant"],
                     callback=lambda result, stamp, run=member.run: self.gangs_taken_back.discard(run),
                 )
--- a/hollowhall/desk/outcomes.py
+++ b/hollowhall/desk/outcomes.py
@@ -38,7 +38,7 @@
 READS = ("read", "list", "state", "count", "workers", "picture")
 
 
-class OutcomesMixin(ViewsMixin):
+class JobRequestsMixin(ViewsMixin):
     """Answers requests for jobs and workers."""
 
     def serve(self, *, op, request, callback, caller):
@@ -48,7 +48,7 @@
             return
         super().serve(op=op, request=request, callback=callback, caller=caller)
 
-    def ready_to(self, callback):
+    def check_primary(self, callback):
         """Whether this scheduler may answer; if not, answers NotPrimary."""
         if self.live() and not self.leaving:
             return True
@@ -71,7 +71,7 @@
 
     def on_job(self, *, request, callback, caller):
         """Submits a job; confirmed once the batch with it is committed."""
-        if not self.ready_to(callback):
+        if not self.check_primary(callback):
             return
         name = request["name"]
         job = self.record.jobs.get(name)
@@ -90,7 +90,7 @@
             callback(TooLarge(limit=constants.BATCH_BYTES_MAX))
             return
         weight = weight_of(request["spec"])
-        if not self.room_for(weight):
+        if not self.has_memory_for(weight):
             callback(Full(where="memory", after=self.retry_after_s()))
             return
         answer = self.job_callback(
@@ -98,20 +98,21 @@
         )
 
         def then(result, stamp):
-            self.coming -= weight
+            self.pending_job_bytes -= weight
             answer(result, stamp)
 
-        self.coming += weight
-        self.hold_event(event=["job", name, request["spec"], request["digest"]], size=size, callback=then)
+        self.pending_job_bytes += weight
+        self.queue_event(event=["job", name, request["spec"], request["digest"]], size=size, callback=then)
 
     coming = 0  # bytes of memory of the jobs that are queued for a batch
 
-    def room_for(self, weight):
+    def has_memory_for(self, weight):
         """Whether the record may grow by `weight` bytes. Ends, cancels and reports are never checked."""
         limit, record = record_bytes(self.settings), self.record
         return (
             not limit
-            or record.weight + constants.JOB_NAME_BYTES * len(record.names) + self.coming + weight <= limit
+            or record.weight + constants.JOB_NAME_BYTES * len(record.names) + self.pending_job_bytes + weight
+            <= limit
         )
 
     def may_access_job(self, *, request, callback):
@@ -125,16 +126,16 @@
 
     def on_cancel(self, *, request, callback, caller):
         """Cancels a job; confirmed once the cancellation is recorded."""
-        if not self.ready_to(callback) or not self.may_access_job(request=request, callback=callback):
+        if not self.check_primary(callback) or not self.may_access_job(request=request, callback=callback):
             return
         name = request["name"]
-        self.hold_event(
+        self.queue_event(
             event=["cancel", name], callback=self.job_callback(name=name, callback=callback, good={"ok": {}})
         )
 
     def on_read(self, *, request, callback, caller):
         """Answers with one job, with its tasks unless the request declines them."""
-        if not self.ready_to(callback) or not self.may_access_job(request=request, callback=callback):
+        if not self.check_primary(callback) or not self.may_access_job(request=request, callback=callback):
             return
         name = request["name"]
         if name in self.record.jobs:
@@ -146,7 +147,7 @@
 
     def on_state(self, *, request, callback, caller):
         """The state of a job, or the final one where that is decided, and whether any task started."""
-        if not self.ready_to(callback):
+        if not self.check_primary(callback):
             return
         job = self.record.jobs.get(request["name"])
         if job is None:
@@ -163,7 +164,7 @@
 
     def on_count(self, *, request, callback, caller):
         """The number of tasks of a lane that wait for a worker."""
-        if self.ready_to(callback):
+        if self.check_primary(callback):
             lines = self.record.lines.get(
                 self.record.queue_named(name=request["lane"], place=request.get("place", "")), {}
             )
@@ -181,12 +182,12 @@
 
     def on_evacuate(self, *, request, callback, caller):
         """Starts or ends the evacuation of a zone; confirmed once it is recorded."""
-        if not self.ready_to(callback):
+        if not self.check_primary(callback):
             return
         if self.record.level < 2:
             callback(NotSynced(tries=0))
             return
-        self.hold_event(
+        self.queue_event(
             event=["evacuate", request["zone"], request["on"]],
             callback=lambda result, stamp: callback(
                 result if stamp is None else Success(value={"zone": request["zone"], "on": request["on"]})
@@ -195,7 +196,7 @@
 
     def on_list(self, *, request, callback, caller):
         """A page of jobs by name; `next` is where the following page begins, '' on the last."""
-        if not self.ready_to(callback):
+        if not self.check_primary(callback):
             return
         jobs, next_name = [], ""
         for name in sorted(self.record.jobs):
@@ -215,7 +216,7 @@
 
     def on_workers(self, *, request, callback, caller):
         """Answers with all workers and what they use."""
-        if not self.ready_to(callback):
+        if not self.check_primary(callback):
             return
         workers = []
         for worker_id, worker in sorted(self.record.workers.items()):
@@ -232,11 +233,11 @@
                     "probation": worker.flaky > self.clock_ms(),
                 }
             )
-        callback(Success(value={"workers": workers, "epoch": self.epoch, "turns": self.turn_n}))
+        callback(Success(value={"workers": workers, "epoch": self.epoch, "turns": self.batch_count}))
 
     def on_picture(self, *, request, callback, caller):
         """A snapshot of the record, for the planner and for replay; packed in slices between other work."""
-        if self.ready_to(callback):
+        if self.check_primary(callback):
             self.run_task(coroutine=self.send_snapshot(callback), name="picture")
 
     async def send_snapshot(self, callback):
--- a/hollowhall/desk/pace.py
+++ b/hollowhall/desk/pace.py
@@ -50,10 +50,10 @@
         by_step = {}
         for worker_id, session in self.sessions.items():
             worker = self.record.workers.get(worker_id)
-            if worker is None or not session.named:
+            if worker is None or not session.names_attempts:
                 continue
-            heard_at = min(now, session.heard)
-            for run, (percent, changed_at, first_percent, first_at) in session.far.items():
+            heard_at = min(now, session.last_beat_at)
+            for run, (percent, changed_at, first_percent, first_at) in session.progress.items():
                 attempt = worker.runs.get(run)
                 if (
                     attempt is None
@@ -128,7 +128,7 @@
             ):
                 return
             self.say(log_events.WORKER_SLOW, worker=worker_id, ratio=round(ratio, 1), stuck=stuck)
-        aside_s = self.note_pace_of(worker_id=worker_id, ms=self.clock_ms()) / 1000
+        aside_s = self.note_slow_worker(worker_id=worker_id, ms=self.clock_ms()) / 1000
         self.slow[worker_id] = (ratio, now + aside_s)
 
     def rescue(self, *, progress, ms):
@@ -177,7 +177,7 @@
                 continue
             for member in self.record.legs_of(job) if spec.get("gang") else [attempt]:
                 if member.step == attempt.step and not member.stop:
-                    self.hold_event(event=["stop", member.run, "slow"])
+                    self.queue_event(event=["stop", member.run, "slow"])
 
     def copy(self, *, attempt, step, workers, ms):
         """Starts a second attempt beside a late one; False if that is not allowed or no worker has room."""
@@ -202,7 +202,7 @@
             candidates,
             key=lambda worker: (bool(near) and worker.rack != near, worker.id in task.bad, worker.id),
         )
-        self.hold_event(event=["copy", attempt.task, worker.id])
+        self.queue_event(event=["copy", attempt.task, worker.id])
         return True
 
     def copy_silent(self, *, now, ms):
@@ -212,7 +212,7 @@
             worker = self.record.workers.get(worker_id)
             if (
                 worker is None
-                or not session.named
+                or not session.names_attempts
                 or now < session.until - self.lease_s() + constants.SILENT_WORKER_S
             ):
                 continue
--- a/hollowhall/desk/placing.py
+++ b/hollowhall/desk/placing.py
@@ -19,7 +19,7 @@
 
     policy = DEFAULT
 
-    def left_ms_of(self, attempt):
+    def remaining_ms_of(self, attempt):
         """Estimated ms that an attempt still needs, where its progress is not known."""
         return self.lane_ms.get(attempt.lane, constants.DEFAULT_TASK_MS)
 
@@ -53,7 +53,7 @@
             most=most,
             kept=self.kept,
             kept_until=self.kept_until,
-            left_ms=self.left_ms_of,
+            left_ms=self.remaining_ms_of,
             last_grant_ms=self.last_grant_ms,
             far=self.settings.far_times,
             slow=self.slow,
@@ -65,7 +65,7 @@
             tenant_turns=self.tenant_turns,
             round_time=round_time,
             examined=self.examined,
-            **self.doubted(),
+            **self.health_view(),
         )
         self.note_use(ms=placement_round.now)
         placement_round.open_plan(self.plan_now(ms=placement_round.now))
--- a/hollowhall/desk/probation.py
+++ b/hollowhall/desk/probation.py
@@ -13,11 +13,11 @@
 class ProbationMixin:
     """The primary's checks of workers that get no tasks."""
 
-    def peers_fail(self, worker):
+    def peer_failure_share(self, worker):
         """The share of failures among the last results of other workers of its kind; 1 if there are none."""
         peers = [
             failed
-            for worker_id, ends in self.windows.items()
+            for worker_id, ends in self.recent_failures.items()
             if worker_id != worker.id
             and worker_id in self.record.workers
             and self.record.workers[worker_id].kind == worker.kind
@@ -28,16 +28,16 @@
     def lift_probation(self):
         """Clears workers whose peers fail more than half as often as they did: then the work is at fault."""
         ms = self.clock_ms()
-        for worker_id, failure_share in list(self.judged.items()):
+        for worker_id, failure_share in list(self.aside_failure_share.items()):
             worker = self.record.workers.get(worker_id)
             if worker is None or worker.flaky < ms:
-                del self.judged[worker_id]
-            elif 2 * self.peers_fail(worker) > failure_share:
-                del self.judged[worker_id]
+                del self.aside_failure_share[worker_id]
+            elif 2 * self.peer_failure_share(worker) > failure_share:
+                del self.aside_failure_share[worker_id]
                 self.say(log_events.WORKER_CLEARED, worker=worker_id)
-                self.hold_event(event=["flaky", worker_id, 0])
+                self.queue_event(event=["flaky", worker_id, 0])
 
-    def lift_needed(self, *, ms):
+    def retry_needed_workers(self, *, ms):
         """Tries workers again for which a step waits: if no sound worker suits it, or less than half of the
         kind's room is in use, each resting one that has room for it."""
         resting = {
@@ -94,8 +94,8 @@
     def try_worker_again(self, *, worker, ms):
         """Starts a trial of a resting worker, and ends its probation in the record."""
         if ms < worker.flaky:
-            self.judged.pop(worker.id, None)
-            self.hold_event(event=["flaky", worker.id, 0])
+            self.aside_failure_share.pop(worker.id, None)
+            self.queue_event(event=["flaky", worker.id, 0])
         if worker.id in self.slow:
             del self.slow[worker.id]
             self.start_trial(worker_id=worker.id, ms=ms)
--- a/hollowhall/desk/record_tail.py
+++ b/hollowhall/desk/record_tail.py
@@ -24,14 +24,14 @@
                         // constants.CHECKSUM_INTERVAL_ENTRIES
                         * constants.CHECKSUM_INTERVAL_ENTRIES,
                     )
-                    if checksum_index >= self.loaded and checksum_index not in self.checksums:
+                    if checksum_index >= self.snapshot_index and checksum_index not in self.checksums:
                         self.checksums = dict(
                             [*self.checksums.items(), (checksum_index, self.record.sum)][
                                 -constants.CHECKSUMS_KEPT :
                             ]
                         )
                     if entry[0] == "turn":
-                        self.note_turn(entry[1])
+                        self.note_batch(entry[1])
                     self.record.enact(op=entry[0], d=entry[1])
                     self.applied = index
             self.applied = max(self.applied, answer["to"])
@@ -53,7 +53,7 @@
         if index > self.applied:
             self.record.load(snapshot)
             self.runtime.spend(s=self.record.tasks_n() * constants.LOAD_TASK_CPU_TIME)
-            self.applied = self.loaded = index
+            self.applied = self.snapshot_index = index
             self.checksums = {}
 
     def tail_request(self):
--- a/hollowhall/desk/reports.py
+++ b/hollowhall/desk/reports.py
@@ -29,7 +29,7 @@
             session.running.add(run)
             if checkpoint:
                 saved[run] = checkpoint
-            before = session.far.get(run)
+            before = session.progress.get(run)
             if before is None:
                 progress[run] = (percent, now, percent, now)
             else:
@@ -49,7 +49,7 @@
         for run in worker.runs if worker is not None else ():
             if run not in saved and run in session.saved:
                 saved[run] = session.saved[run]
-        session.saved, session.far = saved, progress
+        session.saved, session.progress = saved, progress
         session.leave_at = (
             now + request["leaveMs"] / 1000 if request.get("leaveMs") is not None else session.leave_at
         )
@@ -69,7 +69,7 @@
                 attempts=known.starts,
             )
 
-    def seen(self, session):
+    def acknowledged_up_to(self, session):
         """The highest number up to which all reported ends are recorded or void."""
         for number, run in session.listed_ends:
             if run in self.record.legs:
@@ -83,7 +83,7 @@
         sent after that answer arrived or was given up; without the attempt in it, and START_ORDER_VALID_MS
         later, the start has lapsed. Times are of the last beat: a silent worker proves nothing."""
         oldest_s = constants.START_ORDER_VALID_MS / 1000 + constants.ORDER_RESEND_DELAY
-        if session.heard - session.since < oldest_s:
+        if session.last_beat_at - session.since < oldest_s:
             return []  # nor does a beat that was delayed while the primary changed
         told = {run: session.starts_sent.get(run, (-1, -9.0)) for run in worker.runs}
         return [
@@ -93,7 +93,7 @@
             and run not in session.running
             and not session.unsettled(run)
             and session.seq > told[run][0]
-            and session.heard - told[run][1] > oldest_s
+            and session.last_beat_at - told[run][1] > oldest_s
         ]
 
     def named_answer(self, *, worker, session, starts, stops):
@@ -108,7 +108,7 @@
         answer = {
             "known": known,
             "epoch": self.epoch,
-            "seen": self.seen(session),
+            "seen": self.acknowledged_up_to(session),
             "againMs": constants.NEXT_HEARTBEAT_FULL_MS if full else constants.NEXT_HEARTBEAT_MS,
             "starts": [self.named_card(attempts[run]) for run in starts],
             "stops": [[attempts[run].task, attempts[run].no] for run in stops if run in attempts]
--- a/hollowhall/desk/reservation_requests.py
+++ b/hollowhall/desk/reservation_requests.py
@@ -17,7 +17,7 @@
     def reservation_ready(self, callback):
         """Whether a change of a reservation can be accepted now; if not, the callback may have been called
         with the reason."""
-        if self.ready_to(callback) and self.record.level < 3:
+        if self.check_primary(callback) and self.record.level < 3:
             callback(NotSynced(tries=0))  # some daemons are of a version without reservations
             return False
         return self.live() and not self.leaving
@@ -65,7 +65,7 @@
             self.reserves_pending -= 1
             then(result, stamp)
 
-        self.hold_event(
+        self.queue_event(
             event=["reserve", name, request["spec"], request["digest"], self.settings.reserved_percent],
             size=len(pack(request["spec"])) + 256,
             callback=back,
@@ -73,7 +73,7 @@
 
     def on_release(self, *, request, callback, caller):
         if self.reservation_ready(callback):
-            self.hold_event(
+            self.queue_event(
                 event=["release", request["name"]],
                 callback=self.reservation_callback(
                     name=request["name"], callback=callback, answers={"ok": {}}
@@ -83,7 +83,7 @@
     def on_shorten(self, *, request, callback, caller):
         """request: name, untilMs and count; None for either of these keeps it."""
         if self.reservation_ready(callback):
-            self.hold_event(
+            self.queue_event(
                 event=["shorten", request["name"], request["untilMs"], request["count"]],
                 callback=self.reservation_callback(
                     name=request["name"], callback=callback, answers={"ok": {}}
@@ -91,7 +91,7 @@
             )
 
     def on_reservation(self, *, request, callback, caller):
-        if self.ready_to(callback):
+        if self.check_primary(callback):
             name = request["name"]
             callback(
                 Success(value=self.reservation_view(name))
@@ -101,7 +101,7 @@
 
     def on_reservations(self, *, request, callback, caller):
         """The reservations of a queue, or all, by the begin of their windows."""
-        if self.ready_to(callback):
+        if self.check_primary(callback):
             reservations = [
                 reservation
                 for reservation in self.record.reservations.values()
--- a/hollowhall/desk/turns.py
+++ b/hollowhall/desk/turns.py
@@ -12,28 +12,31 @@
 from ..record import stamps_of
 
 
-class TurnsMixin:
+class BatchesMixin:
     """Queues events, commits them in batches and answers their callers."""
 
-    def open_turns(self):
-        self.holding, self.work, self.committing = deque(), asyncio.Event(), False
+    def open_batches(self):
+        self.pending_events, self.work, self.committing = deque(), asyncio.Event(), False
         self.queued_jobs, self.queued_job_count = {}, 0  # urgency: queued new jobs, oldest first
         self.job_rate, self.last_batch_at = constants.INITIAL_SUBMISSION_RATE, 0.0
         self.now_ms = (0, 0.0)  # last stamped time (ms), and our clock (s) when it was received
-        self.turn_n = self.event_n = 0
+        self.batch_count = self.event_count = 0
         self.due_at = None  # ms of stamped time; when the next task comes due, as placement found
 
-    def hold_event(self, *, event, callback=None, size=64):
+    def queue_event(self, *, event, callback=None, size=64):
         """Queues an event for the next batch. `callback(result, stamp)` is called once it is applied, or with
         a failure and None. New jobs wait by urgency and are refused when they would wait too long;
         the events of REFUSABLE are refused only at twice QUEUED_EVENTS_MAX, ends of attempts never."""
         if event[0] == "job":
             self.queue_job(event=event, callback=callback, size=size)
             return
-        if event[0] in constants.REFUSABLE_EVENTS and len(self.holding) >= 2 * constants.QUEUED_EVENTS_MAX:
+        if (
+            event[0] in constants.REFUSABLE_EVENTS
+            and len(self.pending_events) >= 2 * constants.QUEUED_EVENTS_MAX
+        ):
             callback(Full(where="desk", after=self.retry_after_s()), None)
             return
-        self.holding.append((event, callback, size, 0.0))
+        self.pending_events.append((event, callback, size, 0.0))
         self.work.set()
 
     def queue_job(self, *, event, callback, size):
@@ -77,11 +80,11 @@
         items, bytes_left, now = [], constants.BATCH_BYTES_MAX, self.runtime.now()
         job_share = min(constants.SUBMISSIONS_PER_BATCH_MIN, self.queued_job_count)
         while (
-            self.holding
+            self.pending_events
             and len(items) < constants.BATCH_EVENTS_MAX - job_share
-            and (not items or self.holding[0][2] <= bytes_left)
+            and (not items or self.pending_events[0][2] <= bytes_left)
         ):
-            event, callback, size, _ = self.holding.popleft()
+            event, callback, size, _ = self.pending_events.popleft()
             items.append((event, callback))
             bytes_left -= size
         job_count = len(items)
@@ -126,29 +129,29 @@
         stamp_counts = [stamps_of(event) for event in events]
         result = await self.stamp(sum(stamp_counts))
         if not result.ok:
-            self.last_problem = result
+            self.last_failure = result
             return None
         batch = {"e": self.epoch, "c": result.value["e"], "s": result.value["first"], "v": events}
         result = await self.store(op="turn", request={"d": batch, "have": self.have()}, total=2.0)
         if not result.ok:
-            self.last_problem = result
+            self.last_failure = result
             return None
         if result.value["gap"]:
             if not await self.tail_to(result.value["to"], wait=constants.REQUEST_TIMEOUT):
-                self.last_problem = Unsure(why="tail")
+                self.last_failure = Unsure(why="tail")
                 return None
         else:
             self.take(result.value)
             if self.applied < result.value["to"] and not await self.tail_to(
                 result.value["to"], wait=constants.REQUEST_TIMEOUT
             ):
-                self.last_problem = Unsure(why="tail")
+                self.last_failure = Unsure(why="tail")
                 return None
             if self.applied == result.value["to"] and result.value.get("sum", 0) != self.record.sum:
-                self.last_problem, self.until = Unsure(why="diverged"), 0.0
+                self.last_failure, self.until = Unsure(why="diverged"), 0.0
                 self.run_task(coroutine=self.find_diverged_member(), name="odd")
                 return None
-        self.turn_n, self.event_n = self.turn_n + 1, self.event_n + len(events)
+        self.batch_count, self.event_count = self.batch_count + 1, self.event_count + len(events)
         return (
             [
                 (event_result, batch["s"] + sum(stamp_counts[:position]))
@@ -192,7 +195,7 @@
             )
             self.trace_waits(ms=self.clock_ms())
             if events:
-                if not await self.one_turn(items=items, events=events):
+                if not await self.commit_batch(items=items, events=events):
                     self.committing = False
                     break
             self.committing = False
@@ -201,11 +204,11 @@
             )
         await self.wait_for_batch()
 
-    async def one_turn(self, *, items, events):
+    async def commit_batch(self, *, items, events):
         """Commits one batch and answers the callers of `items`. False if this scheduler must step down."""
         results = await self.commit(events=events)
         if results is None:
-            failure = self.last_problem
+            failure = self.last_failure
             not_taken = failure.taken == "no"
             self.say(
                 log_events.TURN_REFUSED if not_taken else log_events.TURN_UNSURE,
@@ -243,7 +246,7 @@
                 if await self.commit(events=[["open"]]) is not None:  # fences the batch of unknown outcome
                     self.work.set()
                     return True
-                self.until = 0.0 if isinstance(self.last_problem, OldEpoch) else self.until
+                self.until = 0.0 if isinstance(self.last_failure, OldEpoch) else self.until
         return False
 
     async def wait_for_work(self):
@@ -256,7 +259,7 @@
         except TimeoutError:
             pass
         self.work.clear()
-        if self.holding or self.queued_job_count:
+        if self.pending_events or self.queued_job_count:
             self.work.set()
 
     async def wait_for_batch(self):
@@ -268,8 +271,8 @@
 
     def drop_primary(self):
         """Refuses all queued events when this scheduler is no longer primary; none of them was proposed."""
-        queued = [*self.holding, *[item for jobs in self.queued_jobs.values() for item in jobs]]
-        self.holding, self.queued_jobs, self.queued_job_count = deque(), {}, 0
+        queued = [*self.pending_events, *[item for jobs in self.queued_jobs.values() for item in jobs]]
+        self.pending_events, self.queued_jobs, self.queued_job_count = deque(), {}, 0
         for _, callback, _, _ in queued:
             if callback is not None:
                 callback(self.not_primary(), None)
--- a/hollowhall/desk/worker_session.py
+++ b/hollowhall/desk/worker_session.py
@@ -32,23 +32,23 @@
     ending: set = field(default_factory=set)  # runs whose end as never begun is queued
     orders_sent: dict = field(default_factory=dict)  # run or (task, number): when its order was last sent
     status_pending: bool = False  # an event about the worker itself is queued
-    greeted: bool = False  # the first beat of a new boot was received
+    boot_heard: bool = False  # the first beat of a new boot was received
     answer_at_once: bool = False  # answer its next beat at once, so that it beats again soon
     slot: tuple = None  # of the beat that waits for an answer
     since: float = 0.0  # when this primary first received a beat of it
     leave_requested: bool = False  # its last beat said that it leaves; answered once that is recorded
     leave_at: float = None  # when it will be gone, if it said so
-    named: bool = False  # it names attempts by task and number
+    names_attempts: bool = False  # it names attempts by task and number
     unknown_attempts: list = field(default_factory=list)  # (task, number) of those that the record lacks
     listed_ends: list = field(default_factory=list)  # (number, run) of the ends in its last report
     acknowledged: int = 0  # highest number up to which its ends are recorded or void
     checked_void: int = 0  # highest number of a void success so far; it and lower ones are not logged again
     starts_sent: dict = field(default_factory=dict)  # run: (beat, when) its start was last answered
-    going: bool = False  # a `lost` event is queued: its beats get no answer meanwhile
+    lost_pending: bool = False  # a `lost` event is queued: its beats get no answer meanwhile
     departed: bool = False  # it has left for good, and is recorded as lost once its ends are recorded
-    heard: float = 0.0  # when its last beat was received
+    last_beat_at: float = 0.0  # when its last beat was received
     saved: dict = field(default_factory=dict)  # run: newest checkpoint
-    far: dict = field(default_factory=dict)  # run: (percent, since when, first percent, since when)
+    progress: dict = field(default_factory=dict)  # run: (percent, since when, first percent, since when)
 
     def report_end(self, *, run, end):
         """Notes an end that the worker reported; the first report of an attempt counts."""
--- a/hollowhall/hall/__init__.py
+++ b/hollowhall/hall/__init__.py
@@ -44,7 +44,7 @@
     def before(self, op, entry):
         """Called before the store member applies an entry."""
         if op == "turn":
-            self.note_turn(entry)
+            self.note_batch(entry)
 
     def take(self, value):
         pass
@@ -61,13 +61,13 @@
             await asyncio.sleep(constants.APPLY_POLL_PERIOD)
         return self.applied >= index
 
-    async def first_go(self):
+    async def defer_campaign(self):
         """Lets the scheduler beside the store's leader go first: its batches need no network hop."""
         almanac = self.almanac
         if almanac.rank != LEADER:
             await asyncio.sleep(constants.KEEPALIVE_PERIOD * (0.6 + 0.4 * self.runtime.rng.random()))
 
-    def can_open(self):
+    def can_read_all(self):
         almanac = self.almanac
         return not almanac.blank and almanac.settings.addr in almanac.voters and not almanac.out_of_touch()
 
--- a/hollowhall/sim/faults_sharp.py
+++ b/hollowhall/sim/faults_sharp.py
@@ -59,9 +59,9 @@
         )
         frozen, daemon = asyncio.Event(), self.world.nodes[primary].daemon
         if rng.random() < 0.5:  # before it requests the timestamp, which will then be fresh
-            original = daemon.hold_event
+            original = daemon.queue_event
 
-            def hold_event(*, event, **kw):
+            def queue_event(*, event, **kw):
                 if (
                     event[0] == "lost"
                     and primary not in self.world.net.freeze_patterns
@@ -70,7 +70,7 @@
                     self.world.net.freeze_patterns[primary] = (b"\xa5stamp", frozen)
                 original(event=event, **kw)
 
-            daemon.hold_event = hold_event
+            daemon.queue_event = queue_event
         else:  # after that: the batch has an old timestamp
             self.world.net.freeze_patterns[primary] = (b"\xa4lost", frozen)
         await self.frozen_at(rng, primary, frozen, 10.0, 3.0)
--- a/hollowhall/tools/experiment/fleet.py
+++ b/hollowhall/tools/experiment/fleet.py
@@ -97,7 +97,7 @@
                 job.state, job.ended_at = "lost", self.now
             else:
                 self.open.add(job.name)
-                self.primary.hold_event(event=["job", job.name, job.spec, job.digest])
+                self.primary.queue_event(event=["job", job.name, job.spec, job.digest])
         self.waiting = []
 
     def note_ended_jobs(self):
@@ -142,7 +142,7 @@
             return
         self.accept_jobs()
         if round(self.now / TICK_S) % round(constants.ENDED_JOBS_CHECK_PERIOD / TICK_S) == 0:
-            primary.look_after(now=self.now, ms=primary.clock_ms())
+            primary.check_workers(now=self.now, ms=primary.clock_ms())
         primary.turn()
         self.note_ended_jobs()
 
--- a/hollowhall/tools/measure/measure.py
+++ b/hollowhall/tools/measure/measure.py
@@ -146,7 +146,7 @@
         await asyncio.sleep(2)
         alm = [x.daemon for n, x in w.nodes.items() if n.startswith("almanac")]
         desk = w.nodes[w.who("desk", "primary")[0]].daemon
-        t0 = [(a.ring.syncs, a.ring.bytes) for a in alm], desk.turn_n, desk.event_n
+        t0 = [(a.ring.syncs, a.ring.bytes) for a in alm], desk.batch_count, desk.event_count
         load = asyncio.ensure_future(req.run(mix=w.shape.mix, seconds=20, settle=5))
         far = []
         for _ in range(8):
@@ -161,10 +161,10 @@
                 await asyncio.sleep(0.001)
             far.append(w.loop.vt - t)
             await asyncio.sleep(1.5)
-        n = desk.turn_n - t0[1]
+        n = desk.batch_count - t0[1]
         out["syncs a turn, one member"] = sum(a.ring.syncs - b[0] for a, b in zip(alm, t0[0])) / 3 / n
         out["bytes a turn, one member"] = sum(a.ring.bytes - b[1] for a, b in zip(alm, t0[0])) / 3 / n
-        out["stamps a batch"] = (desk.event_n - t0[2]) / n
+        out["stamps a batch"] = (desk.event_count - t0[2]) / n
         out["turns a second"] = n / 20
         out["edit to all masts, s"] = max(far)
         await load
--- a/hollowhall/tools/measure/sick.py
+++ b/hollowhall/tools/measure/sick.py
@@ -43,7 +43,7 @@
     def look_at_pace(self, **kw):
         pass
 
-    def doubted(self):
+    def health_view(self):
         return {}
 
 
@@ -53,18 +53,18 @@
     def note_health(self, **kw):
         pass
 
-    def take_ends(self, *, request, session, worker):
-        super().take_ends(request=request, session=session, worker=worker)
-        x, ms = self.windows.get(worker.id, ()), self.clock_ms()
+    def take_report(self, *, request, session, worker):
+        super().take_report(request=request, session=session, worker=worker)
+        x, ms = self.recent_failures.get(worker.id, ()), self.clock_ms()
         if sum(x) >= 2.5 and len(x) >= 5 and worker.flaky < ms:
-            bad, base = sum(x) / len(x), self.peers_fail(worker)
+            bad, base = sum(x) / len(x), self.peer_failure_share(worker)
             if bad > 0.5 and bad > 2 * base:
                 x.clear()
-                self.judged[worker.id] = bad
+                self.aside_failure_share[worker.id] = bad
                 self.say(log_events.WORKER_FLAKY, worker=worker.id)
-                self.hold_event(event=["flaky", worker.id, ms + 60_000])
+                self.queue_event(event=["flaky", worker.id, ms + 60_000])
 
-    def doubted(self):
+    def health_view(self):
         return {}
 
 
@@ -73,18 +73,18 @@
 
     looked = 0.0
 
-    def look_after(self, *, now, ms):
-        super().look_after(now=now, ms=ms)
+    def check_workers(self, *, now, ms):
+        super().check_workers(now=now, ms=ms)
         if now - self.looked < LOOK:
             return
         self.looked = now
         for i, w in self.record.workers.items():
             self.looks += 1
             self.ill[i] = self.ill.get(i, 0) + 1 if not self.answer(i) else 0
-            if self.ill[i] > 1 and self.may_put_aside(w):
+            if self.ill[i] > 1 and self.may_set_aside(w):
                 if self.ill[i] == 2:
                     self.say(log_events.WORKER_SLOW, worker=i)
-                self.slow[i] = (1.0, now + self.note_pace_of(worker_id=i, ms=ms) / 1000)
+                self.slow[i] = (1.0, now + self.note_slow_worker(worker_id=i, ms=ms) / 1000)
 
 
 VERSIONS = {"off": Off, "before": Before, "now": Judge, "looks": Looks}
--- a/hollowhall/tools/measure/sick_fleet.py
+++ b/hollowhall/tools/measure/sick_fleet.py
@@ -33,10 +33,10 @@
     """The primary's judgement: reports in, a turn each tick, orders out."""
 
     def __init__(self, *, rows):
-        self.record, self.t, self.said, self.queue, self.windows = Record(), 1.0, [], [], {}
+        self.record, self.t, self.said, self.queue, self.recent_failures = Record(), 1.0, [], [], {}
         self.settings = Bag(far_times=2.0, hold_ms=HOLD_MS, margin_ms=300)
         self.runtime, self.work = Bag(now=lambda: self.t, spend=lambda s: 0.0), Bag(set=lambda: None)
-        self.epoch, self.sessions, self.judged, self.leaving = 1, {}, {}, False
+        self.epoch, self.sessions, self.aside_failure_share, self.leaving = 1, {}, {}, False
         self.open_pace()
         self.open_place()
         for n in (1, 2):
@@ -52,20 +52,20 @@
     def clock_ms(self):
         return 1_000_000 + int(self.t * 1000)
 
-    def hold_event(self, *, event, callback=None, size=64):
+    def queue_event(self, *, event, callback=None, size=64):
         self.queue.append((event, callback))
 
     def hear(self, b):
         """One report; what the worker is told."""
         i = b["id"]
         h, w = self.sessions.setdefault(i, WorkerSession(boot="1", since=self.t)), self.record.workers.get(i)
-        h.seq, h.heard, h.until, h.named = h.seq + 1, self.t, self.t + self.lease_s(), True
+        h.seq, h.last_beat_at, h.until, h.names_attempts = h.seq + 1, self.t, self.t + self.lease_s(), True
         b = b | {"ended": self.read_report(request=b, session=h, worker=w)}
         if w is None:
-            self.announce(request=b, session=h)
+            self.register_worker(request=b, session=h)
         else:
-            self.take_ends(request=b, session=h, worker=w)
-        o = self.beat_outcome(worker_id=i, session=h)
+            self.take_report(request=b, session=h, worker=w)
+        o = self.beat_answer(worker_id=i, session=h)
         return o.value if o.ok else None
 
     def turn(self):
@@ -192,7 +192,7 @@
         elif self.rng.random() < OWN:
             self.own[f"{name}/0.0/0"] = 1
             j.ideal += ms / 2
-        self.d.hold_event(event=["job", name, spec, digest])
+        self.d.queue_event(event=["job", name, spec, digest])
 
     def through(self, k):
         """Whether a run that has done its work ends now: a gang's, once all have."""
@@ -241,5 +241,5 @@
                 if v is not None:
                     w.order(v)
         if int(d.t / TICK + 0.5) % int(constants.ENDED_JOBS_CHECK_PERIOD / TICK) == 0:
-            d.look_after(now=d.t, ms=d.clock_ms())
+            d.check_workers(now=d.t, ms=d.clock_ms())
         d.turn()
--- a/hollowhall/tools/scale/counted.py
+++ b/hollowhall/tools/scale/counted.py
@@ -100,8 +100,8 @@
         return {
             "duty": "primary" if d.live() else "understudy",
             "entries": d.applied,
-            "turns": d.turn_n,
-            "events": d.event_n,
+            "turns": d.batch_count,
+            "events": d.event_count,
             "workers": len(rec.workers),
             "runs": len(rec.legs),
             "jobs": len(rec.jobs),
--- a/hollowhall/tools/scale/virtual.py
+++ b/hollowhall/tools/scale/virtual.py
@@ -80,8 +80,8 @@
         return {
             "duty": "primary" if d.live() else "understudy",
             "entries": d.applied,
-            "turns": d.turn_n,
-            "events": d.event_n,
+            "turns": d.batch_count,
+            "events": d.event_count,
         }
     return {"duty": "mast"}
 
--- a/tests/platform_refusals.py
+++ b/tests/platform_refusals.py
@@ -40,7 +40,7 @@
             if how == "taken":  # and nobody here knows
                 await commit(events=events)
             await asyncio.sleep(draw.random() * REFUSAL_S)
-            desk.last_problem = draw.choice(SURE) if how == "sure" else Unsure(why="lead lost")
+            desk.last_failure = draw.choice(SURE) if how == "sure" else Unsure(why="lead lost")
             return None
 
         desk.commit = sometimes
--- a/tests/test_control_answers.py
+++ b/tests/test_control_answers.py
@@ -122,9 +122,9 @@
 def beating_desk():
     """A primary with one worker that runs one attempt."""
     desk = Desk(made(steps=[step()]))
-    desk.open_turns()
+    desk.open_batches()
     desk.record.do(["grant", "j/0.0/0", "w0"])
-    desk.sessions = {"w0": WorkerSession(boot="1", named=True, seq=5, running={1})}
+    desk.sessions = {"w0": WorkerSession(boot="1", names_attempts=True, seq=5, running={1})}
     desk.beat_slab = PendingRequests(capacity=8)
     return desk
 
@@ -135,7 +135,7 @@
 def test_a_worker_that_takes_leave_first_keeps_what_it_runs():
     desk, answers = beating_desk(), []
     desk.on_beat(request=DEPARTURE, callback=answers.append, caller="w0")
-    (event, back, _, _), *more = desk.holding
+    (event, back, _, _), *more = desk.pending_events
     assert event == ["leave", "w0", "1"] and more == [] and answers == []
     desk.record.do(event)
     back(["ok", LEAVES], 7)
@@ -148,7 +148,7 @@
 def test_its_leave_that_was_not_recorded_is_not_acknowledged():
     desk, answers = beating_desk(), []
     desk.on_beat(request=DEPARTURE, callback=answers.append, caller="w0")
-    desk.holding[0][1](["none", ""], None)
+    desk.pending_events[0][1](["none", ""], None)
     assert not answers[0].ok
 
 
@@ -173,10 +173,10 @@
     desk, answers = beating_desk(), []
     for number in range(3):
         desk.on_beat(request=DEPARTURE, callback=answers.append, caller="w0")
-        event, back, _, _ = desk.holding.popleft()
+        event, back, _, _ = desk.pending_events.popleft()
         desk.record.do(event)
         back(["ok", LEAVES], 7)
-        assert event == ["leave", "w0", "1"] and not desk.holding and len(answers) == number + 1
+        assert event == ["leave", "w0", "1"] and not desk.pending_events and len(answers) == number + 1
         assert answers[number].ok and len(desk.record.workers["w0"].runs) == 1
         desk.sessions["w0"] = WorkerSession(boot="1") if primary_changed else desk.sessions["w0"]
         assert desk.sessions["w0"].seq < DEPARTURE["seq"]  # what it reports from now on is still taken
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -94,7 +94,7 @@
         desk.job_rate = 10.0  # ten jobs a second: fifteen fill a second and a half
         for lane in ("composites", "hail"):
             for number in range(30):
-                desk.hold_event(
+                desk.queue_event(
                     event=["job", f"{lane}-{number}", job(lane), "x"],
                     callback=lambda result, stamp, lane=lane: got.setdefault(lane, []).append(result),
                 )
--- a/tests/test_desk_edges.py
+++ b/tests/test_desk_edges.py
@@ -16,9 +16,9 @@
 from hollowhall.base.doors import Call
 from hollowhall.base.problems import NotPrimary, Unsure
 from hollowhall.desk.beats import BeatsMixin
-from hollowhall.desk.care import CareMixin
+from hollowhall.desk.care import WorkerChecksMixin
 from hollowhall.desk.place import Round
-from hollowhall.desk.turns import TurnsMixin
+from hollowhall.desk.turns import BatchesMixin
 from hollowhall.desk.worker_session import WorkerSession
 from hollowhall.record.charter import check_job
 
@@ -28,7 +28,7 @@
 from front import Front
 
 
-class Desk(TurnsMixin, BeatsMixin):
+class Desk(BatchesMixin, BeatsMixin):
     """A primary over a record, without a store, a clock or a network."""
 
     def __init__(self, rec):
@@ -54,17 +54,17 @@
 
 def test_an_unsure_turn_that_gives_a_worker_up_keeps_it_silent_until_the_record_is_reread():
     desk = Desk(made(steps=[step()]))
-    desk.open_turns()
+    desk.open_batches()
     desk.record.do(["grant", "j/0.0/0", "w0"])
-    session = WorkerSession(boot="1", named=True, status_pending=True, going=True)
+    session = WorkerSession(boot="1", names_attempts=True, status_pending=True, lost_pending=True)
     desk.sessions = {"w0": session}
     seen = []
 
     async def commit(*, events):
-        desk.last_problem = Unsure(why="lead lost")  # it was committed, and is not applied here yet
+        desk.last_failure = Unsure(why="lead lost")  # it was committed, and is not applied here yet
 
     async def reread():
-        answer = desk.beat_outcome(worker_id="w0", session=session)  # a beat of w0 is answered meanwhile
+        answer = desk.beat_answer(worker_id="w0", session=session)  # a beat of w0 is answered meanwhile
         seen.append(answer.value["starts"] if answer.ok else [])
         desk.record.do(["lost", "w0", "1"], ["grant", "j/0.0/0", "w1"])  # the batch is applied
         return True
@@ -73,7 +73,7 @@
     event = ["lost", "w0", "1"]
 
     async def commit_lost():
-        await desk.one_turn(items=[(event, partial(desk.lost, "w0", session))], events=[event])
+        await desk.commit_batch(items=[(event, partial(desk.lost, "w0", session))], events=[event])
 
     asyncio.run(commit_lost())
     assert seen == [[]]  # not told to start what also starts on w1
@@ -132,7 +132,7 @@
     desk = Desk(made(steps=[step()]))
     desk.record.do(["grant", "j/0.0/0", "w0"])
     desk.record.do(["evacuate", "z0", True])
-    session = WorkerSession(boot="1", named=True)
+    session = WorkerSession(boot="1", names_attempts=True)
     assert desk.orders(worker_id="w0", session=session)[0] == []
 
 
@@ -175,20 +175,20 @@
     assert [t for t, _ in run.run()] == ["f/0.0/0"]
 
 
-class Carer(CareMixin, PaceDesk):
+class Carer(WorkerChecksMixin, PaceDesk):
     """A scheduler with worker monitoring over a record."""
 
     def __init__(self, rec):
         super().__init__(rec)
-        self.windows, self.judged = {}, {}
+        self.recent_failures, self.aside_failure_share = {}, {}
 
 
 def test_probation_of_all_that_suit_a_step_is_lifted_once_it_has_waited():
     desk = Carer(made(steps=[step(label="r1")], workers=4))  # w1 and w3 have the label
     desk.record.do(*[["flaky", worker_id, 90_000] for worker_id in ("w1", "w3")])
-    desk.lift_needed(ms=1100)
+    desk.retry_needed_workers(ms=1100)
     assert desk.events == []
-    desk.lift_needed(ms=1000 + 1600)
+    desk.retry_needed_workers(ms=1000 + 1600)
     assert {tuple(event) for event in desk.events} == {("flaky", "w1", 0), ("flaky", "w3", 0)}
 
 
@@ -197,7 +197,7 @@
     full = check_job({"lane": "q", "steps": [step(tasks=3, room={"cores": 8000})]})
     desk.record.do(["job", "f", *full], *[["grant", f"f/0.0/{n}", f"w{n}"] for n in range(3)])
     desk.record.do(["flaky", "w3", 90_000])
-    desk.lift_needed(ms=1000 + 1600)
+    desk.retry_needed_workers(ms=1000 + 1600)
     assert desk.events == []
 
 
@@ -205,4 +205,4 @@
     desk = Carer(made(steps=[step(forever=True)], standing=True))
     desk.record.do(["grant", "j/0.0/0", "w0"])
     desk.note_ends([["end", runs(desk.record)[0], "bad", ""]])
-    assert not desk.windows
+    assert not desk.recent_failures
--- a/tests/test_going.py
+++ b/tests/test_going.py
@@ -30,10 +30,10 @@
 def test_a_worker_that_is_being_given_up_is_told_nothing():
     desk = Desk(made(steps=[step()]))
     desk.record.do(["grant", "j/0.0/0", "w0"])
-    session = WorkerSession(boot="1", named=True)
-    assert desk.beat_outcome(worker_id="w0", session=session).value["starts"]
-    session.going = True
-    assert isinstance(desk.beat_outcome(worker_id="w0", session=session), NotPrimary)
+    session = WorkerSession(boot="1", names_attempts=True)
+    assert desk.beat_answer(worker_id="w0", session=session).value["starts"]
+    session.lost_pending = True
+    assert isinstance(desk.beat_answer(worker_id="w0", session=session), NotPrimary)
     assert desk.orders(worker_id="w0", session=session) == ([], [])
     desk.lost("w0", session, ["none", ""], None)
-    assert not session.going and desk.beat_outcome(worker_id="w0", session=session).ok
+    assert not session.lost_pending and desk.beat_answer(worker_id="w0", session=session).ok
--- a/tests/test_hall.py
+++ b/tests/test_hall.py
@@ -188,7 +188,7 @@
         assert isinstance(answers[0], NotLeader)
         member.on_charter(request={"version": 0}, callback=answers.append, caller="mast")
         assert isinstance(answers[1], NotLeader)
-        assert not world.nodes[name].daemon.desk.can_open()
+        assert not world.nodes[name].daemon.desk.can_read_all()
 
     world.run(go())
 
@@ -207,7 +207,7 @@
             if other.startswith("hall") and not world.nodes[other].daemon.desk.live()
         )
         behind = world.nodes[name].daemon.desk
-        behind.can_open = lambda: True
+        behind.can_read_all = lambda: True
 
         async def never(index, *, wait):
             await asyncio.sleep(wait)
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -6,16 +6,16 @@
 from test_pace import Desk as PaceDesk
 
 from hollowhall.base import constants
-from hollowhall.desk.care import CareMixin
+from hollowhall.desk.care import WorkerChecksMixin
 from hollowhall.desk.health import ASIDE, MOVES, SOUND, SUSPECTED, TRIAL, HealthMixin
 
 
-class Desk(CareMixin, PaceDesk):
+class Desk(WorkerChecksMixin, PaceDesk):
     """A scheduler with worker monitoring over a record, primary or standby."""
 
     def __init__(self, rec):
         super().__init__(rec)
-        self.windows, self.judged, self.primary = {}, {}, True
+        self.recent_failures, self.aside_failure_share, self.primary = {}, {}, True
 
     def live(self):
         return self.primary
@@ -61,12 +61,12 @@
     desk = new_desk()
     desk.ends("w1", "ok", ["0.0/0", "0.1/0"])
     desk.ends("w0", "bad", ["0.0/1"])
-    assert desk.state("w0") == SUSPECTED and desk.events == [] and "w0" in desk.doubted()["doubt"]
+    assert desk.state("w0") == SUSPECTED and desk.events == [] and "w0" in desk.health_view()["doubt"]
     desk.ends("w0", "bad", ["0.1/1"])
     assert (
         desk.state("w0") == ASIDE
         and desk.events == [["flaky", "w0", desk.health["w0"].aside_until_ms]]
-        and "w0" in desk.doubted()["aside"]
+        and "w0" in desk.health_view()["aside"]
     )
     flush(desk)
     assert desk.record.workers["w0"].flaky > desk.clock_ms() and [e[0] for e in desk.said] == [413]
@@ -89,7 +89,7 @@
     desk.ends("w1", "bad", ["0.0/1", "0.1/1", "0.2/1"])
     flush(desk)
     assert desk.state("w0") == SOUND and desk.record.workers["w0"].flaky == 0
-    assert desk.health["w0"].times == 0 and 417 in [e[0] for e in desk.said]
+    assert desk.health["w0"].relapses == 0 and 417 in [e[0] for e in desk.said]
 
 
 def test_probation_doubles_with_each_relapse_up_to_a_bound():
@@ -103,7 +103,7 @@
         flush(desk)
         spans.append(desk.health["w0"].aside_until_ms - desk.clock_ms())
         desk.t = (desk.health["w0"].aside_until_ms - 1000) / 1000 + 0.01
-        desk.look_at_health(ms=desk.clock_ms())
+        desk.check_health(ms=desk.clock_ms())
         assert desk.state("w0") == TRIAL
     assert failures == 2 + 6  # two failures to the first time aside, then one for each trial
     assert [round(span, -2) for span in spans] == [
@@ -117,12 +117,12 @@
     health = desk.health["w0"]
     if health.state != ASIDE:  # the only worker of a kind may not be set aside
         assert (
-            not desk.may_put_aside(desk.record.workers["w0"])
+            not desk.may_set_aside(desk.record.workers["w0"])
             or health.evidence < constants.EVIDENCE_SET_ASIDE
         )
     flush(desk)
     desk.t += 6.0
-    desk.look_at_health(ms=desk.clock_ms())
+    desk.check_health(ms=desk.clock_ms())
     assert desk.state("w0") == TRIAL
     grants = [e for e in desk.place_all(most=50) if e[0] == "grant"]
     assert len(grants) == 1
@@ -216,10 +216,10 @@
 def test_one_that_stands_still_again_on_trial_is_set_aside_for_longer():
     desk, spans = new_desk(), []
     for _ in range(3):
-        spans.append(desk.note_pace_of(worker_id="w0", ms=desk.clock_ms()))
+        spans.append(desk.note_slow_worker(worker_id="w0", ms=desk.clock_ms()))
         # another sign of slowness while set aside is no relapse
-        assert desk.note_pace_of(worker_id="w0", ms=desk.clock_ms()) == spans[-1]
+        assert desk.note_slow_worker(worker_id="w0", ms=desk.clock_ms()) == spans[-1]
         desk.t += spans[-1] / 1000 + 0.01
-        desk.look_at_health(ms=desk.clock_ms())
+        desk.check_health(ms=desk.clock_ms())
         assert desk.state("w0") == TRIAL
     assert spans == [int(constants.SLOW_WORKER_ASIDE_S * 1000) << relapse for relapse in range(3)]
--- a/tests/test_limits_record.py
+++ b/tests/test_limits_record.py
@@ -58,7 +58,11 @@
         out["cancel"] = (await caller.ask("cancel", "DELETE", "/v1/jobs/j0", name="j0"))[0]
         out["workers"] = len(primary.record.workers)
         record = primary.record
-        out["sum"] = record.weight, sum(weight_of(job.spec) for job in record.jobs.values()), primary.coming
+        out["sum"] = (
+            record.weight,
+            sum(weight_of(job.spec) for job in record.jobs.values()),
+            primary.pending_job_bytes,
+        )
         before = record.weight
         record.rule = record.rule | {"readable_ms": 0}  # as if ten minutes had passed
         record.ev_forget(record.last + (10 << constants.LOGICAL_BITS))
@@ -76,11 +80,11 @@
 
     async def go():
         _, primary = await up()
-        assert primary.room_for(10**12)
+        assert primary.has_memory_for(10**12)
         primary.settings.memory_mb = 64
-        assert not primary.room_for(10**12) and primary.room_for(1000)
-        primary.coming = 64 << 18
-        assert not primary.room_for(1000)
+        assert not primary.has_memory_for(10**12) and primary.has_memory_for(1000)
+        primary.pending_job_bytes = 64 << 18
+        assert not primary.has_memory_for(1000)
 
     sim.run(go())
 
@@ -93,7 +97,7 @@
         primary.record.names = {
             str(index): [0, "", ""] for index in range((64 << 18) // constants.JOB_NAME_BYTES)
         }
-        assert not primary.room_for(1000)
+        assert not primary.has_memory_for(1000)
 
     sim.run(go())
 
@@ -110,7 +114,7 @@
                 op=op, request=request, caller="m", callback=lambda result, op=op: out.setdefault(op, result)
             )
         primary.serve(op="leave", request={"id": "w1", "boot": "b"}, caller="m", callback=lambda result: None)
-        out["held"] = [x[0][0] for x in primary.holding]
+        out["held"] = [x[0][0] for x in primary.pending_events]
 
     sim.run(go())
     assert all(isinstance(out[x], Full) and out[x].after >= 1 for x in ("read", "list", "count"))
--- a/tests/test_nevers.py
+++ b/tests/test_nevers.py
@@ -127,7 +127,7 @@
         )
         await asyncio.wait([commit])
         await asyncio.sleep(8)
-        return commit.result(), type(primary.last_problem).__name__ if commit.result() is None else ""
+        return commit.result(), type(primary.last_failure).__name__ if commit.result() is None else ""
 
     done, problem = world.run(go())
     return (
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -31,7 +31,7 @@
     def say(self, event, **fields):
         self.said.append((event.no, fields))
 
-    def hold_event(self, *, event, callback=None, size=64):
+    def queue_event(self, *, event, callback=None, size=64):
         self.events.append(event)
 
     def lease_s(self):
@@ -41,8 +41,10 @@
         return int(self.t * 1000)
 
     def report(self, worker_id, named=(), ends=(), **more):
-        session = self.sessions.setdefault(worker_id, WorkerSession(boot="1", named=True, since=-9.0))
-        session.until, session.heard, session.seq = self.t + self.lease_s(), self.t, session.seq + 1
+        session = self.sessions.setdefault(
+            worker_id, WorkerSession(boot="1", names_attempts=True, since=-9.0)
+        )
+        session.until, session.last_beat_at, session.seq = self.t + self.lease_s(), self.t, session.seq + 1
         return self.read_report(
             request={"boot": "1", "named": named, "ends": ends, **more},
             session=session,
@@ -60,11 +62,13 @@
     )
     assert ends == [[first_run, "bad", "bad", "cp"], [second_run, "ok", "ok", ""]]
     session = desk.sessions["w0"]
-    assert desk.seen(session) == 1
+    assert desk.acknowledged_up_to(session) == 1
     desk.record.do(["end", *ends[1]])
-    assert desk.seen(session) == 1  # the second end is not recorded yet, so the third is not acknowledged
+    assert (
+        desk.acknowledged_up_to(session) == 1
+    )  # the second end is not recorded yet, so the third is not acknowledged
     desk.record.do(["end", *ends[0]])
-    assert desk.seen(session) == 3 and desk.record.jobs["j"].tasks["j/0.0/0"].saved == "cp"
+    assert desk.acknowledged_up_to(session) == 3 and desk.record.jobs["j"].tasks["j/0.0/0"].saved == "cp"
 
 
 def test_what_the_record_does_not_know_is_stopped_and_checkpoints_stay():
--- a/tests/test_pictures.py
+++ b/tests/test_pictures.py
@@ -182,7 +182,13 @@
         await asyncio.sleep(8)
         desk = world.nodes["desk-3"].daemon
         leader = world.nodes[world.who("almanac", "leader")[0]].daemon
-        return offsets, follower.record.digest(), desk.record.digest(), leader.record.digest(), desk.loaded
+        return (
+            offsets,
+            follower.record.digest(),
+            desk.record.digest(),
+            leader.record.digest(),
+            desk.snapshot_index,
+        )
 
     offsets, follower, desk, leader, loaded = world.run(scenario())
     again = [y for member, y in zip(offsets, offsets[1:]) if 0 < y <= member]
--- a/tests/test_place.py
+++ b/tests/test_place.py
@@ -152,18 +152,19 @@
             await asyncio.sleep(1)
         primary = world.who("desk", "primary")[0]
         seen["old"] = {
-            worker_id: list(results) for worker_id, results in world.nodes[primary].daemon.windows.items()
+            worker_id: list(results)
+            for worker_id, results in world.nodes[primary].daemon.recent_failures.items()
         }
         world.kill(primary)
         await asyncio.sleep(4)
         desk = world.nodes[world.who("desk", "primary")[0]].daemon
-        seen["relapses"] = desk.health["tile-01"].times
+        seen["relapses"] = desk.health["tile-01"].relapses
         await client.send(body=failing_job)  # by now the worker is on trial, and fails again
         await asyncio.sleep(1)
-        seen["new"] = {worker_id: list(results) for worker_id, results in desk.windows.items()}
+        seen["new"] = {worker_id: list(results) for worker_id, results in desk.recent_failures.items()}
         seen["flaky"] = desk.record.workers["tile-01"].flaky > desk.clock_ms()
-        desk.judged["tile-01"] = 1.0
-        for _i, results in desk.windows.items():
+        desk.aside_failure_share["tile-01"] = 1.0
+        for _i, results in desk.recent_failures.items():
             results.extend([True] * 20)
         await asyncio.sleep(2)
         seen["lifted"] = desk.record.workers["tile-01"].flaky
--- a/tests/test_probation.py
+++ b/tests/test_probation.py
@@ -37,9 +37,9 @@
     ]:
         desk.record.workers[worker_id].labels.remove("r1")
     assert {"w1", "w3"} == set(desk.slow)
-    desk.lift_needed(ms=CALM_MS - 1)
+    desk.retry_needed_workers(ms=CALM_MS - 1)
     assert {"w1", "w3"} == set(desk.slow)
-    desk.lift_needed(ms=CALM_MS)
+    desk.retry_needed_workers(ms=CALM_MS)
     assert desk.slow == {} and desk.health_of("w1").state == desk.health_of("w3").state == TRIAL
 
 
@@ -50,5 +50,5 @@
     desk.record.do(
         ["job", "f", *full], *[["grant", f"f/0.0/{number}", f"w{number + 1}"] for number in range(busy)]
     )
-    desk.lift_needed(ms=CALM_MS)
+    desk.retry_needed_workers(ms=CALM_MS)
     assert ("w0" not in desk.slow) is again
--- a/tests/test_reported_ends.py
+++ b/tests/test_reported_ends.py
@@ -11,12 +11,12 @@
 from hollowhall.base.problems import NotPrimary, NotSynced, Unsure
 from hollowhall.base.slab import PendingRequests
 from hollowhall.desk.beats import BeatsMixin
-from hollowhall.desk.turns import TurnsMixin
+from hollowhall.desk.turns import BatchesMixin
 
 REFUSALS = [NotSynced(tries=0), Unsure(why="lead lost")]
 
 
-class Desk(TurnsMixin, BeatsMixin):
+class Desk(BatchesMixin, BeatsMixin):
     """A primary that handles heartbeats and commits batches; `refusal`: failure of its batches, if any."""
 
     def __init__(self, record):
@@ -26,9 +26,14 @@
             SimpleNamespace(hold_ms=6000, margin_ms=1500),
         )
         self.epoch, self.leaving, self.until, self.primary_now = 1, False, 99.0, True
-        self.sessions, self.beat_slab, self.judged, self.windows = {}, PendingRequests(capacity=64), {}, {}
+        self.sessions, self.beat_slab, self.aside_failure_share, self.recent_failures = (
+            {},
+            PendingRequests(capacity=64),
+            {},
+            {},
+        )
         self.gangs_taken_back, self.said = set(), []
-        self.open_turns()
+        self.open_batches()
 
     def live(self):
         return self.primary_now
@@ -45,7 +50,9 @@
     def do_nothing(self, **_):
         pass
 
-    look_at_pace = copy_silent = move_in_time = say_waits = lift_needed = look_at_health = do_nothing
+    look_at_pace = copy_silent = stop_before_departure = log_long_waits = retry_needed_workers = (
+        check_health
+    ) = do_nothing
     lift_probation = do_nothing
 
     async def reread(self):
@@ -53,7 +60,7 @@
 
     async def commit(self, *, events):
         if self.refusal is not None:
-            self.last_problem = self.refusal
+            self.last_failure = self.refusal
             return None
         return [(event_result, 0) for event_result in self.record.do(*events, ms=self.clock_ms())]
 
@@ -70,10 +77,10 @@
         """Puts the events that are held into a batch, which is applied or refused."""
         self.refusal = refusal
         items = self.next_items()
-        await self.one_turn(items=items, events=[event for event, _ in items])
+        await self.commit_batch(items=items, events=[event for event, _ in items])
 
     def look(self):
-        self.look_after(now=self.time_s, ms=self.clock_ms())
+        self.check_workers(now=self.time_s, ms=self.clock_ms())
 
 
 def primary_with_attempt(*, steps, leaves=True, **kw):
@@ -125,7 +132,7 @@
         items = desk.next_items()  # a batch is being committed
         desk.beat(bye=True, seq=1 << 60)
         desk.refusal = NotSynced(tries=0)
-        await desk.one_turn(items=items, events=[event for event, _ in items])
+        await desk.commit_batch(items=items, events=[event for event, _ in items])
         await desk.batch()
         await desk.batch()
         return desk
@@ -142,7 +149,7 @@
         desk.time_s += 9.0
         desk.look()
         desk.refusal = NotSynced(tries=0)
-        await desk.one_turn(items=items, events=[event for event, _ in items])
+        await desk.commit_batch(items=items, events=[event for event, _ in items])
         await desk.batch()
         desk.look()
         await desk.batch()
@@ -178,7 +185,7 @@
         desk.drop_primary()
         return desk
 
-    assert not run_scenario(scenario).holding
+    assert not run_scenario(scenario).pending_events
 
 
 @pytest.mark.parametrize("ended, said", [(["stopped", "never began"], [406]), (["ok", ""], [])])
--- a/tests/test_reservations_weak.py
+++ b/tests/test_reservations_weak.py
@@ -61,7 +61,7 @@
     abstract = False
 
     def on_reserve(self, *, request, callback, caller):
-        if self.ready_to(callback):
+        if self.check_primary(callback):
             callback(Success(value={"new": True, "state": "waiting"}))
             asyncio.get_running_loop().call_later(
                 1.0,
--- a/tests/test_reserving.py
+++ b/tests/test_reserving.py
@@ -167,7 +167,7 @@
     assert not primary.copy(attempt=attempt, step=step, workers=workers, ms=T + 10_000) and primary.run_round(
         20_000
     ) == ({}, [])
-    primary.hold_event = lambda event: primary.said.append(event)
+    primary.queue_event = lambda event: primary.said.append(event)
     assert primary.copy(attempt=attempt, step=step, workers=workers, ms=T + 20_000)
 
 
--- a/tests/test_taken_back.py
+++ b/tests/test_taken_back.py
@@ -14,7 +14,7 @@
     def __init__(self, store):
         self.record, self.gangs_taken_back, self.held = store.record, set(), []
 
-    def hold_event(self, *, event, callback=None):
+    def queue_event(self, *, event, callback=None):
         self.held.append(event)
 
     def orders_for(self, worker, started=()):
--- a/tests/weak_parts.py
+++ b/tests/weak_parts.py
@@ -57,8 +57,8 @@
 class NoStartExpiry(Desk):
     """Start orders do not expire on the way to a worker."""
 
-    def beat_outcome(self, *, worker_id, session):
-        outcome = super().beat_outcome(worker_id=worker_id, session=session)
+    def beat_answer(self, *, worker_id, session):
+        outcome = super().beat_answer(worker_id=worker_id, session=session)
         return Success(value=outcome.value | {"validMs": 60_000}) if outcome.ok else outcome
 
 
@@ -108,17 +108,17 @@
 class AcceptsLateBeats(Desk):
     """Accepts the first heartbeat of a boot as its start, however late it arrives."""
 
-    def announce(self, *, request, session):
-        session.greeted = True
-        super().announce(request=request, session=session)
+    def register_worker(self, *, request, session):
+        session.boot_heard = True
+        super().register_worker(request=request, session=session)
 
 
 class NeverUnsure(Desk):
     """Answers that a request was not taken where it cannot know."""
 
-    async def one_turn(self, *, items, events):
+    async def commit_batch(self, *, items, events):
         items = [(e, k and (lambda r, st, k=k: k(Leaving() if st is None else r, st))) for e, k in items]
-        return await super().one_turn(items=items, events=events)
+        return await super().commit_batch(items=items, events=events)
 
 
 class NeverSendsStops(Desk):
