--- a/hollowhall/base/circuit.py
+++ b/hollowhall/base/circuit.py
@@ -31,7 +31,10 @@
 
     def __init__(self, *, wire, host, peer=""):
         self.wire, self.host, self.peer = wire, host, peer
-        self.pending_requests, self.up = PendingRequests(cap=constants.PENDING_REQUESTS_PER_CONNECTION), True
+        self.pending_requests, self.up = (
+            PendingRequests(capacity=constants.PENDING_REQUESTS_PER_CONNECTION),
+            True,
+        )
         self.heard, self.probed, self.monitored = host.runtime.now(), 0.0, False
 
     def send_request(self, *, op, request, callback, wait=constants.REQUEST_TIMEOUT):
--- a/hollowhall/base/daemon.py
+++ b/hollowhall/base/daemon.py
@@ -33,7 +33,7 @@
     def open_store(self):
         self.links = {}
         self.avoided_until = {}  # store member: until when others are asked first, as it did not answer
-        self.store_addresses = getattr(self, "alms", list(self.settings.seeds))
+        self.store_addresses = getattr(self, "store_addresses", list(self.settings.seeds))
         for address in self.store_addresses:
             self.link(addr=address)
 
--- a/hollowhall/tools/plan/solve.py
+++ b/hollowhall/tools/plan/solve.py
@@ -30,7 +30,7 @@
     the variables (group, worker) -> number of tasks."""
 
     def __init__(self, *, problem, only=None):
-        self.cp_model, self.failure, self.only, self.names = load_cp_model(), problem, only, {}
+        self.cp_model, self.problem, self.only, self.names = load_cp_model(), problem, only, {}
         self.model = self.cp_model.CpModel()
         self.counts, self.used = {}, {}
         for group in problem.groups:
@@ -58,8 +58,8 @@
 
     def build(self):
         """Adds all constraints of the problem."""
-        hosts = self.failure.hosts
-        for group in self.failure.groups:
+        hosts = self.problem.hosts
+        for group in self.problem.groups:
             counts = {host.id: self.counts[group.name, host.id] for host in hosts}
             self.add(f"{group.name}: tasks", sum(counts.values()) == group.tasks)
             for key in ("kind", "zone", "rack"):
@@ -94,7 +94,7 @@
         for host in hosts:
             for resource in range(3):
                 demands = [
-                    (group, group.room[resource]) for group in self.failure.groups if group.room[resource]
+                    (group, group.room[resource]) for group in self.problem.groups if group.room[resource]
                 ]
                 if demands:
                     self.add(
@@ -105,21 +105,21 @@
 
     def set_objective(self):
         """Sets what the solver minimizes: workers in use, the highest load, or tasks moved from their worker."""
-        if self.failure.favour == "fewest-workers":
+        if self.problem.favour == "fewest-workers":
             used = []
-            for host in self.failure.hosts:
+            for host in self.problem.hosts:
                 is_used = self.model.new_bool_var("")
-                for group in self.failure.groups:
+                for group in self.problem.groups:
                     self.model.add(self.counts[group.name, host.id] == 0).only_enforce_if(~is_used)
                 used.append(is_used)
             self.model.minimize(sum(used))
-        elif self.failure.favour == "even-load":
+        elif self.problem.favour == "even-load":
             highest_load = self.model.new_int_var(0, SCALE, "")
-            for host in self.failure.hosts:
+            for host in self.problem.hosts:
                 for resource in range(3):
                     demand = [
                         group.room[resource] * self.counts[group.name, host.id]
-                        for group in self.failure.groups
+                        for group in self.problem.groups
                         if group.room[resource]
                     ]
                     if demand and host.room[resource]:
@@ -127,7 +127,7 @@
             self.model.minimize(highest_load)
         else:
             moves = []
-            for group in self.failure.groups:
+            for group in self.problem.groups:
                 for worker, count in group.now.items():
                     moved = self.model.new_int_var(0, max(count, 1), "")
                     placed = self.counts.get((group.name, worker), 0)
@@ -148,13 +148,13 @@
 def find_conflict(problem, *, end, seed):
     """(names of constraints that cannot all be satisfied, whether each of them is known to be needed). end: time on
     the monotonic clock at which the search stops."""
-    names = list(Model(failure=problem).names)
+    names = list(Model(problem=problem).names)
     each_needed = True
     for name in list(names):
         if time.monotonic() > end:
             return names, False
         less = [kept for kept in names if kept != name]
-        model = Model(failure=problem, only=set(less))
+        model = Model(problem=problem, only=set(less))
         _, status = model.run(seconds=end - time.monotonic(), seed=seed)
         if status == model.cp_model.INFEASIBLE:
             names = less
@@ -167,7 +167,7 @@
     """Solves a problem within `seconds`. Returns {"status": best, found, infeasible or unknown, ...}: with
     placements for the first two, with the conflict for `infeasible`."""
     end = time.monotonic() + seconds
-    model = Model(failure=problem)
+    model = Model(problem=problem)
     model.set_objective()
     solver, status = model.run(seconds=seconds, seed=seed)
     if status in (model.cp_model.OPTIMAL, model.cp_model.FEASIBLE):
--- a/tests/test_members_replaced.py
+++ b/tests/test_members_replaced.py
@@ -136,7 +136,8 @@
         await lose_one_and_add_another(world, leads=False, wait=1.0)
         await world.until(
             lambda: any(
-                "10.0.0.9:7000" in getattr(replica.store, "alms", ()) and replica.store.rank == LEADER
+                "10.0.0.9:7000" in getattr(replica.store, "store_addresses", ())
+                and replica.store.rank == LEADER
                 for replica in world.halls()
             )
         )
--- a/tests/test_solve.py
+++ b/tests/test_solve.py
@@ -113,9 +113,9 @@
 def assert_each_needed(problem, out):
     """Asserts that the constraints of a conflict cannot all be satisfied, and that they can without any one of them."""
     names = set(out["conflict"])
-    assert out["eachNeeded"] and names <= set(Model(failure=problem).names)
+    assert out["eachNeeded"] and names <= set(Model(problem=problem).names)
     for kept, satisfiable in [(names, False)] + [(names - {name}, True) for name in names]:
-        model = Model(failure=problem, only=kept)
+        model = Model(problem=problem, only=kept)
         assert (model.run(seconds=5, seed=1)[1] != model.cp_model.INFEASIBLE) == satisfiable
 
 
@@ -156,7 +156,7 @@
     first, second = [solve(read_placement_problem(content), seconds=2, seed=5) for _ in range(2)]
     assert first["wrong"] == [] and first["status"] in ("best", "found")
     assert first["status"] != "best" or first == second
-    model = Model(failure=read_placement_problem(content))
+    model = Model(problem=read_placement_problem(content))
     model.set_objective()
     solver, _ = model.run(seconds=0.2, seed=5)
     assert solver.wall_time < 10
