--- a/hollowhall/desk/outcomes.py
+++ b/hollowhall/desk/outcomes.py
@@ -104,7 +104,7 @@
         self.pending_job_bytes += weight
         self.queue_event(event=["job", name, request["spec"], request["digest"]], size=size, callback=then)
 
-    coming = 0  # bytes of memory of the jobs that are queued for a batch
+    pending_job_bytes = 0  # bytes of memory of the jobs that are queued for a batch
 
     def has_memory_for(self, weight):
         """Whether the record may grow by `weight` bytes. Ends, cancels and reports are never checked."""
--- a/hollowhall/explore/network.py
+++ b/hollowhall/explore/network.py
@@ -79,7 +79,7 @@
 class ModelRpcClient:
     """Replaces the RPC client of another replica: requests go to the Network."""
 
-    up, closed, level, c = True, False, constants.LEVEL, None
+    up, closed, level, connection = True, False, constants.LEVEL, None
 
     def __init__(self, *, replica, network, address):
         self.replica, self.network, self.address = replica, network, address
