--- a/hollowhall/almanac/bootstrap.py
+++ b/hollowhall/almanac/bootstrap.py
@@ -20,10 +20,10 @@
                     "last": self.last(),
                     "blank": self.blank,
                     "founding": self.blank and self.settings.found and self.term == 0,
-                    "state": self.rank,
+                    "state": self.election_role,
                     "commit": self.commit,
                     "addr": self.settings.addr,
-                    "conf": self.conf,
+                    "conf": self.membership,
                     "joins": self.settings.join,
                     "lead": self.leader,
                     "clock": self.clk is not None,
@@ -33,15 +33,15 @@
             )
         )
 
-    async def unblank(self):
+    async def recover_blank(self):
         """Bootstraps a blank replica: founds the store with the other seeds, or learns the minimum term.
         The minimum term is saved on disk, so that a replica that stops before it counts need not hear
         from every member again."""
-        if self.floor is None:
+        if self.minimum_term is None:
             await self.learn_minimum_term()
-            if self.floor is not None:
+            if self.minimum_term is not None:
                 self.hard_dirty = True
-                self.disk_ev.set()
+                self.disk_event.set()
 
     async def learn_minimum_term(self):
         """Asks every peer for its status; founds the store if all are new, else sets `floor` once enough
@@ -54,11 +54,11 @@
                 if "conf" in answer.value:
                     self.adopt_membership(answer.value["conf"])
         if self.settings.auto_members and not self.settings.found and self.unknown_to_majority(answers):
-            self.floor = 0
+            self.minimum_term = 0
             return
         if set(answers) != set(self.peers):
             if not self.settings.found and self.heard_enough(answers):
-                self.floor = max([self.term] + [status["t"] for status in answers.values()])
+                self.minimum_term = max([self.term] + [status["t"] for status in answers.values()])
             return
         fresh = all(
             status["t"] == 0 and status["last"] == 0 and (status["founding"] or not status["blank"])
@@ -72,9 +72,9 @@
         elif not self.settings.found or any(not status["blank"] for status in answers.values()):
             if all(status["blank"] for status in answers.values()):
                 return
-            self.floor = max([self.term] + [status["t"] for status in answers.values()])
+            self.minimum_term = max([self.term] + [status["t"] for status in answers.values()])
             if self.settings.found:
-                self.say(log_events.FOUND_REFUSED, floor=self.floor)
+                self.say(log_events.FOUND_REFUSED, floor=self.minimum_term)
 
     def heard_enough(self, answers):
         """Whether every majority that this replica may have been part of includes a member that answered
@@ -82,7 +82,7 @@
         asked for is still pending."""
         members_heard = len([peer for peer in self.voters if peer in answers and not answers[peer]["blank"]])
         return (
-            self.conf["v"] > 0
+            self.membership["v"] > 0
             and members_heard > len(self.voters) - self.majority()
             and self.runtime.now() - self.started_at > constants.EMPTY_REPLICA_WAIT
         )
@@ -92,8 +92,8 @@
         term above the minimum term has committed."""
         if (
             not self.blank
-            or self.floor is None
-            or term <= self.floor
+            or self.minimum_term is None
+            or term <= self.minimum_term
             or commit > self.last()
             or commit == 0
             or self.settings.addr not in self.voters
@@ -105,7 +105,7 @@
 
         def on_synced():
             self.say(log_events.CAUGHT_UP, term=term, index=commit)
-            if self.rank == BLANK:
+            if self.election_role == BLANK:
                 self.become(role=FOLLOWER, leader=self.leader, why="caught up")
 
         self.after_sync(on_synced)
--- a/hollowhall/almanac/clock.py
+++ b/hollowhall/almanac/clock.py
@@ -47,7 +47,7 @@
             outcome = await self.store(op="get", request={"p": LEADER_KEY}, safe=True)
             if outcome.ok and not outcome.value["kv"]:
                 self.clock_lead = ""
-                if self.rank not in (LEADER, BLANK):  # the store's leader campaigns first
+                if self.election_role not in (LEADER, BLANK):  # the store's leader campaigns first
                     await asyncio.sleep(constants.CLOCK_CAMPAIGN_DELAY * (0.5 + self.runtime.rng.random()))
                 if not self.blank:
                     await self.clock_campaign()
--- a/hollowhall/almanac/confs.py
+++ b/hollowhall/almanac/confs.py
@@ -15,10 +15,10 @@
 MEMBERS_KEY = "store/members"
 
 
-class ConfMixin:
+class MembershipMixin:
     """The membership in force, and its changes."""
 
-    def open_conf(self):
+    def open_membership(self):
         own = [] if self.settings.join else [self.settings.addr]
         first = {"v": 0, "voters": sorted({*self.settings.seeds, *own}), "learner": "", "out": "", "past": []}
         if self.settings.auto_members and not self.settings.found:
@@ -31,18 +31,18 @@
             [],
         )
         self.opened = self.removed = False
-        self.next, self.match, self.acked_n = {}, {}, {}
-        self.use_conf()
+        self.next, self.match, self.acked_number = {}, {}, {}
+        self.apply_membership()
 
     @property
-    def conf(self):
+    def membership(self):
         return self.memberships[-1][1]
 
-    def use_conf(self):
+    def apply_membership(self):
         """Puts the newest membership into force: the only place where peers, voters and the tasks that
         replicate to peers change."""
         self.membership_changed_at = self.runtime.now()
-        membership, own_address = self.conf, self.settings.addr
+        membership, own_address = self.membership, self.settings.addr
         self.voters = membership["voters"]
         self.voter_peers = [peer for peer in self.voters if peer != own_address]
         self.peers = [
@@ -54,7 +54,7 @@
         for peer in self.peers:
             if peer not in self.replication_events:
                 self.replication_events[peer] = asyncio.Event()
-                self.next[peer], self.match[peer], self.acked_n[peer] = self.last() + 1, 0, 0
+                self.next[peer], self.match[peer], self.acked_number[peer] = self.last() + 1, 0, 0
             if self.opened:
                 self.link(addr=peer)
                 if peer not in self.replication_tasks:
@@ -67,15 +67,15 @@
         """Called for each appended entry: a membership takes effect at once."""
         if entry[2][:9] == ENTRY_PREFIX:
             self.memberships.append((entry[0], unpack(entry[2])[1]))
-            self.use_conf()
+            self.apply_membership()
 
     def drop_memberships_after(self, index):
         """Called when the entries after `index` were dropped from the log: so are their memberships."""
         if self.memberships[-1][0] > index:
             self.memberships = [x for x in self.memberships if x[0] <= index] or self.memberships[:1]
-            self.use_conf()
+            self.apply_membership()
 
-    def conf_at(self, index):
+    def membership_at(self, index):
         """The membership in force at a log index."""
         return [
             membership
@@ -87,13 +87,13 @@
         """Takes the membership from a snapshot; those of later log entries stay if `keep`."""
         later = [x for x in self.memberships if keep and x[0] > snapshot["i"]]
         self.memberships = [(snapshot["i"], snapshot.get("conf") or self.memberships[0][1]), *later]
-        self.use_conf()
+        self.apply_membership()
 
     def adopt_membership(self, membership):
         """Takes a newer membership than the settings name; only while the log is empty."""
-        if membership["v"] > self.conf["v"] and self.last() == 0:
+        if membership["v"] > self.membership["v"] and self.last() == 0:
             self.memberships = [(0, membership)]
-            self.use_conf()
+            self.apply_membership()
 
     def enact_membership(self, membership):
         """Applies a committed membership: writes it to the keys, and steps down if it leaves this member
@@ -105,17 +105,17 @@
             and not self.settings.join
         )
         self.removed = self.removed and left_out
-        if membership["v"] >= self.conf["v"] and left_out and not self.removed:
+        if membership["v"] >= self.membership["v"] and left_out and not self.removed:
             self.removed = True
             self.say(log_events.MEMBER_OUT, voters=len(membership["voters"]))
-            if self.rank == LEADER:
+            if self.election_role == LEADER:
                 self.run_task(coroutine=self.step_out(), name="step out")
         return Success(value=membership)
 
     async def step_out(self):
         """Hands over the leadership of a leader that was removed."""
         await self.hand_over()
-        if self.rank == LEADER:
+        if self.election_role == LEADER:
             self.become(role=FOLLOWER, why="taken out")
 
     # --- on the leader
@@ -124,14 +124,14 @@
         """Whether this leader may propose a membership: it has committed an entry of its own term, and
         the last membership is committed."""
         return (
-            self.rank == LEADER
+            self.election_role == LEADER
             and self.term_at(self.commit) == self.term
             and self.memberships[-1][0] <= self.commit
         )
 
-    def put_conf(self, *, callback=lambda outcome: None, **changes):
+    def propose_membership(self, *, callback=lambda outcome: None, **changes):
         """Proposes the present membership with these fields changed."""
-        membership = self.conf | changes
+        membership = self.membership | changes
         self.propose(request=pack(["members", membership | {"v": membership["v"] + 1}]), callback=callback)
 
     def alive(self, address):
@@ -167,11 +167,11 @@
         while True:
             await asyncio.sleep(constants.LEADER_HEARTBEAT_PERIOD)
             if self.settled():
-                self.steer_once()
+                self.advance_membership()
 
-    def steer_once(self):
+    def advance_membership(self):
         """Proposes the next entry that a change in progress, or the members' state, requires, if any."""
-        membership, learner = self.conf, self.conf["learner"]
+        membership, learner = self.membership, self.membership["learner"]
         if (
             learner
             and self.match.get(learner, 0) >= self.commit
@@ -180,11 +180,13 @@
             and not self.voter_recently_silent()
         ):
             self.say(log_events.MEMBER_COUNTS, addr=learner, index=self.match[learner])
-            self.put_conf(voters=sorted([*membership["voters"], learner]), learner="")
+            self.propose_membership(voters=sorted([*membership["voters"], learner]), learner="")
         elif not learner and membership["out"] in membership["voters"]:
             remaining = [voter for voter in membership["voters"] if voter != membership["out"]]
             if self.has_live_majority(remaining):
-                self.put_conf(voters=remaining, out="", past=[*membership["past"], membership["out"]])
+                self.propose_membership(
+                    voters=remaining, out="", past=[*membership["past"], membership["out"]]
+                )
         elif self.settings.auto_members:
             self.steer_automatic()
 
@@ -196,9 +198,9 @@
                 failure
                 if failure is not None
                 else Success(
-                    value=self.conf
+                    value=self.membership
                     | {
-                        "version": self.conf["v"],
+                        "version": self.membership["v"],
                         "level": self.record.level,
                         "lead": self.settings.addr,
                         "up": [address for address in self.store_addresses if self.alive(address)],
@@ -210,7 +212,7 @@
 
     def on_members(self, *, request, callback, caller):
         """An operator's change: adds, removes or replaces a member, based on the version it names."""
-        if self.rank != LEADER:
+        if self.election_role != LEADER:
             callback(NotLeader(hint=self.leader))
             return
         self.run_task(coroutine=self.change(request, callback), name="change")
@@ -224,17 +226,19 @@
         if failure is not None:
             callback(failure)
         elif request["do"] == "add":
-            self.put_conf(learner=newcomer, callback=reply)
+            self.propose_membership(learner=newcomer, callback=reply)
         elif request["do"] == "replace":
-            self.put_conf(learner=newcomer, out=request["addr"], callback=reply)
-        elif request["addr"] == self.conf["learner"]:
-            self.put_conf(learner="", out="", past=[*self.conf["past"], request["addr"]], callback=reply)
+            self.propose_membership(learner=newcomer, out=request["addr"], callback=reply)
+        elif request["addr"] == self.membership["learner"]:
+            self.propose_membership(
+                learner="", out="", past=[*self.membership["past"], request["addr"]], callback=reply
+            )
         else:
-            self.put_conf(out=request["addr"], callback=reply)
+            self.propose_membership(out=request["addr"], callback=reply)
 
     async def check_joinable(self, addr):
         """The Refused that says why a store member at this address cannot be added, or None."""
-        if addr in self.store_addresses or addr in self.conf["past"]:
+        if addr in self.store_addresses or addr in self.membership["past"]:
             return Refused(why="the address is, or once was, a member's")
         outcome = await self.link(addr=addr).call(op="status", request={})
         for _ in range(10):
@@ -255,10 +259,12 @@
 
     def check_change(self, request):
         """The failure that says why an operator's change cannot begin now, or None."""
-        membership = self.conf
+        membership = self.membership
         if not self.settled():
             return (
-                Refused(why="a change is under way") if self.rank == LEADER else NotLeader(hint=self.leader)
+                Refused(why="a change is under way")
+                if self.election_role == LEADER
+                else NotLeader(hint=self.leader)
             )
         if self.record.level < 1:
             return Refused(why="the format level does not know changes of members yet")
--- a/hollowhall/almanac/copy.py
+++ b/hollowhall/almanac/copy.py
@@ -12,23 +12,23 @@
 from .vote import FOLLOWER, LEADER
 
 
-class CopyMixin:
+class ReplicationMixin:
     """The log, and its replication to the peers while this member leads."""
 
     def last(self):
         """The index of the last log entry."""
-        return self.book[-1][0] if self.book else self.base_i
+        return self.log_entries[-1][0] if self.log_entries else self.base_index
 
     def term_at(self, index):
         """The term of the entry at an index; -1 if the log does not hold it."""
-        if index == self.base_i:
+        if index == self.base_index:
             return self.base_term
-        position = index - self.base_i - 1
-        return self.book[position][1] if 0 <= position < len(self.book) else -1
+        position = index - self.base_index - 1
+        return self.log_entries[position][1] if 0 <= position < len(self.log_entries) else -1
 
     def entries(self, index):
         """The log's entries from an index on."""
-        return self.book[max(0, index - self.base_i - 1) :]
+        return self.log_entries[max(0, index - self.base_index - 1) :]
 
     # --- leader
 
@@ -38,18 +38,18 @@
         self.led_since = self.runtime.now()
         self.next = {peer: self.last() + 1 for peer in self.peers}
         self.match = {peer: 0 for peer in self.peers}
-        self.acked_at, self.acked_n, self.append_count = {}, {peer: 0 for peer in self.peers}, 0
+        self.acked_at, self.acked_number, self.append_count = {}, {peer: 0 for peer in self.peers}, 0
         self.minimum_terms = {}
-        self.blank_peers, self.reads, self.hold_ends, self.expiring = set(), [], {}, set()
-        for lease, fields in self.keys.holds.items():
-            self.hold_ends[lease] = self.latest_keep_alive(lease) + fields["ttl"]
+        self.blank_peers, self.pending_reads, self.lease_ends, self.expiring = set(), [], {}, set()
+        for lease, fields in self.keys.leases.items():
+            self.lease_ends[lease] = self.latest_keep_alive(lease) + fields["ttl"]
         self.noop_index = self.add(data=pack(["noop"]))
 
     def latest_keep_alive(self, lease):
         """The latest time at which a keep-alive of this lease can have been confirmed. A confirmed one was
         in an append that a majority answered, so one of the members that voted for this leader knows of
         it. A voter forgets what it heard before it started, so its start is taken instead."""
-        ages = [self.runtime.now() - max(self.kept.get(lease, 0.0), self.started_at)]
+        ages = [self.runtime.now() - max(self.lease_kept_at.get(lease, 0.0), self.started_at)]
         ages += [
             vote["h"].get(lease, vote["born"]) if "h" in vote else 0.0
             for term, vote in self.ballots
@@ -57,41 +57,41 @@
         ]
         return self.runtime.now() - max(0.0, min(ages))
 
-    def keeps(self):
+    def lease_ages(self):
         """Seconds since the last keep-alive of each lease, sent with appends and votes. Includes leases
         whose grant is not applied here yet: a lagging voter may be the only one to know of a confirmed
         keep-alive. Leases that are gone are forgotten after UNKNOWN_KEEPALIVE_KEPT."""
         now = self.runtime.now()
-        self.kept = {
+        self.lease_kept_at = {
             lease: kept_at
-            for lease, kept_at in self.kept.items()
-            if lease in self.keys.holds or now - kept_at < constants.UNKNOWN_KEEPALIVE_KEPT
+            for lease, kept_at in self.lease_kept_at.items()
+            if lease in self.keys.leases or now - kept_at < constants.UNKNOWN_KEEPALIVE_KEPT
         }
-        known = dict.fromkeys([*self.keys.holds, *self.kept])
-        return {lease: now - max(self.kept.get(lease, 0.0), self.started_at) for lease in known}
+        known = dict.fromkeys([*self.keys.leases, *self.lease_kept_at])
+        return {lease: now - max(self.lease_kept_at.get(lease, 0.0), self.started_at) for lease in known}
 
     def merge_lease_ages(self, ages):
         now = self.runtime.now()
         for lease, age in ages.items():
-            self.kept[lease] = max(self.kept.get(lease, 0.0), now - age)
+            self.lease_kept_at[lease] = max(self.lease_kept_at.get(lease, 0.0), now - age)
 
     def stop_leading(self):
         """Answers all pending proposals as unsure, since the next leader may still commit them, and all
         reads with NotLeader."""
         for callback in self.pending.drain():
             callback(Unsure(why="lead lost"))
-        self.waits = {}
-        for _, _, callback in self.reads:
+        self.pending_proposals = {}
+        for _, _, callback in self.pending_reads:
             callback(NotLeader(hint=""))
-        self.reads = []
+        self.pending_reads = []
 
     def add(self, *, data):
         """Appends an entry to the leader's log; returns its index."""
         entry = [self.last() + 1, self.term, data]
-        self.book.append(entry)
+        self.log_entries.append(entry)
         self.unsynced.append(entry)
         self.add_membership_entry(entry)
-        self.disk_ev.set()
+        self.disk_event.set()
         for peer in self.peers:
             self.replication_events[peer].set()
         return entry[0]
@@ -99,11 +99,11 @@
     def propose(self, *, request, callback):
         """Appends a packed operation to the log. The callback gets its result once it is applied, or a
         failure."""
-        if self.rank != LEADER or self.handing_over:
+        if self.election_role != LEADER or self.handing_over:
             callback(NotLeader(hint="" if self.handing_over else self.leader))
             return
-        if len(request) > min(constants.ENTRY_MAX_BYTES, self.ring.size // 2):
-            callback(TooLarge(limit=min(constants.ENTRY_MAX_BYTES, self.ring.size // 2)))
+        if len(request) > min(constants.ENTRY_MAX_BYTES, self.segments.size // 2):
+            callback(TooLarge(limit=min(constants.ENTRY_MAX_BYTES, self.segments.size // 2)))
             return
         if self.last() - self.commit > constants.UNCOMMITTED_ENTRIES_MAX:
             callback(Full(where="store", after=constants.RETRY_AFTER))
@@ -112,15 +112,15 @@
         if ticket is None:
             callback(Full(where="store", after=constants.RETRY_AFTER))
             return
-        self.waits[self.add(data=request)] = ticket
+        self.pending_proposals[self.add(data=request)] = ticket
 
     def read(self, *, callback):
         """Calls back with None once a majority has confirmed that this member still led after the call, and
         with a failure otherwise."""
-        if self.rank != LEADER:
+        if self.election_role != LEADER:
             callback(NotLeader(hint=self.leader))
             return
-        self.reads.append((self.append_count, max(self.commit, self.noop_index), callback))
+        self.pending_reads.append((self.append_count, max(self.commit, self.noop_index), callback))
         for peer in self.peers:
             self.replication_events[peer].set()
         self.advance()
@@ -136,20 +136,20 @@
                 pass
             event.clear()
             while (
-                self.rank == LEADER
+                self.election_role == LEADER
                 and self.replication_events.get(peer) is event
-                and await self.feed_once(peer)
+                and await self.replicate_once(peer)
             ):
                 pass
 
-    async def feed_once(self, peer):
+    async def replicate_once(self, peer):
         """Sends one append or snapshot; returns whether there is more to send at once."""
         term, next_index = self.term, self.next[peer]
         if self.links[peer].level < self.record.level:
             return False  # too old for the record's format; it logs this itself when it asks
         self.append_count += 1
         number, sent_at = self.append_count, self.runtime.now()
-        if next_index <= self.base_i:
+        if next_index <= self.base_index:
             outcome, last_sent = await self.send_snapshot(peer=peer, term=term)
         else:
             entries, size = [], 0
@@ -168,11 +168,11 @@
                     "lt": self.term_at(next_index - 1),
                     "es": entries,
                     "c": self.commit,
-                    "h": self.keeps(),
+                    "h": self.lease_ages(),
                 },
             )
             last_sent = next_index - 1 + len(entries)
-        if not outcome.ok or self.rank != LEADER or self.term != term or peer not in self.peers:
+        if not outcome.ok or self.election_role != LEADER or self.term != term or peer not in self.peers:
             return False
         answer = outcome.value
         if answer["t"] > self.term:
@@ -189,7 +189,7 @@
         ):
             self.run_task(coroutine=self.campaign(forced=True), name="renew")
             return False
-        self.acked_at[peer], self.acked_n[peer] = sent_at, number
+        self.acked_at[peer], self.acked_number[peer] = sent_at, number
         self.compare_checksums(peer=peer, reported=answer.get("mark"))
         if answer["yes"]:
             self.match[peer], self.next[peer] = last_sent, last_sent + 1
@@ -200,7 +200,7 @@
 
     def advance(self):
         """Advances the commit index and answers reads, as far as a majority has answered."""
-        if self.rank != LEADER:
+        if self.election_role != LEADER:
             return
         counted_peers = [peer for peer in self.voter_peers if peer not in self.blank_peers]
         is_voter = self.settings.addr in self.voters
@@ -213,13 +213,14 @@
                 for peer in self.peers:
                     self.replication_events[peer].set()
         answered = sorted(
-            [self.append_count + 1] * is_voter + [self.acked_n[peer] for peer in counted_peers], reverse=True
+            [self.append_count + 1] * is_voter + [self.acked_number[peer] for peer in counted_peers],
+            reverse=True,
         )
-        if self.reads and len(answered) >= self.majority():
+        if self.pending_reads and len(answered) >= self.majority():
             confirmed, waiting, ready = answered[self.majority() - 1], [], []
-            for read in self.reads:
+            for read in self.pending_reads:
                 (ready if read[0] < confirmed and read[1] <= self.applied else waiting).append(read)
-            self.reads = waiting
+            self.pending_reads = waiting
             for read in ready:
                 read[2](None)
 
@@ -227,12 +228,12 @@
     def apply(self):
         """Applies the committed entries and answers their proposals."""
         while self.applied < self.commit:
-            entry = self.book[self.applied - self.base_i]
+            entry = self.log_entries[self.applied - self.base_index]
             outcome = self.enact(index=entry[0], command=unpack(entry[2]))
             self.applied = entry[0]
             if entry[0] % constants.CHECKSUM_INTERVAL_ENTRIES == 0 and self.record.level:
                 self.note_checksum(entry[0])
-            ticket = self.waits.pop(entry[0], None)
+            ticket = self.pending_proposals.pop(entry[0], None)
             callback = self.pending.take(index=ticket[0], generation=ticket[1]) if ticket else None
             if callback is not None:
                 callback(outcome)
--- a/hollowhall/almanac/follow.py
+++ b/hollowhall/almanac/follow.py
@@ -15,9 +15,9 @@
 
     def after_sync(self, callback):
         """Calls back once everything that this replica holds now is synced to disk."""
-        if self.hard_dirty or self.unsynced or self.snap_in:
+        if self.hard_dirty or self.unsynced or self.received_snapshot:
             self.sync_callbacks.append(callback)
-            self.disk_ev.set()
+            self.disk_event.set()
         elif self.writing:
             self.inflight_callbacks.append(callback)
         else:
@@ -31,20 +31,20 @@
     async def keep_disk(self):
         """The task that writes the disk. If the disk fails, the daemon logs it and ends."""
         while True:
-            await self.disk_ev.wait()
-            self.disk_ev.clear()
-            while self.hard_dirty or self.unsynced or self.sync_callbacks or self.snap_in:
-                entries, callbacks, snapshot = self.unsynced, self.sync_callbacks, self.snap_in
-                self.unsynced, self.sync_callbacks, self.snap_in = [], [], None
+            await self.disk_event.wait()
+            self.disk_event.clear()
+            while self.hard_dirty or self.unsynced or self.sync_callbacks or self.received_snapshot:
+                entries, callbacks, snapshot = self.unsynced, self.sync_callbacks, self.received_snapshot
+                self.unsynced, self.sync_callbacks, self.received_snapshot = [], [], None
                 self.hard_dirty, self.writing, self.inflight_callbacks = False, True, callbacks
                 self.write_started = self.runtime.now()
-                hard = {"t": self.term, "v": self.vote, "m": not self.blank, "f": self.floor}
+                hard = {"t": self.term, "v": self.vote, "m": not self.blank, "f": self.minimum_term}
                 if snapshot is not None:
                     if not snapshot["keep"]:
                         before = hard | {"m": self.counts_on_disk()}
-                        await self.ring.put(hard=before, es=[], cut=snapshot["i"])
+                        await self.segments.put(hard=before, entries=[], cut=snapshot["i"])
                     async with self.snapshot_lock:
-                        await self.ring.snap(d=snapshot)
+                        await self.segments.snap(snapshot=snapshot)
                 await self.write_entries(hard=hard, entries=entries)
                 self.counted_on_disk = hard["m"]
                 self.writing, self.write_started = False, None
@@ -58,10 +58,10 @@
                 self.advance()
             if (
                 self.applied - self.snap_i >= self.snapshot_due
-                or self.ring.free_files() * 2 <= self.ring.file_count
+                or self.segments.free_files() * 2 <= self.segments.file_count
                 and self.applied > self.snap_i
             ):
-                self.snap_ev.set()
+                self.snapshot_event.set()
 
     def counts_on_disk(self):
         """Whether the disk says that this replica counts. It must not say so before the snapshot by which
@@ -74,13 +74,13 @@
         while True:
             count = size = 0
             while count < len(entries) and (
-                count == 0 or size + len(entries[count][2]) < self.ring.size // 2
+                count == 0 or size + len(entries[count][2]) < self.segments.size // 2
             ):
                 size += len(entries[count][2]) + 32
                 count += 1
-            if self.ring.free_files() < 2 and self.applied > self.snap_i:
+            if self.segments.free_files() < 2 and self.applied > self.snap_i:
                 await self.save_snapshot()
-            await self.ring.put(hard=hard, es=entries[:count])
+            await self.segments.put(hard=hard, entries=entries[:count])
             entries = entries[count:]
             if not entries:
                 return
@@ -91,14 +91,18 @@
         if request["t"] < self.term:
             callback(Success(value=self.ack(yes=False)))
             return
-        if request["t"] > self.term or self.rank not in (FOLLOWER, BLANK) or self.leader != request["l"]:
+        if (
+            request["t"] > self.term
+            or self.election_role not in (FOLLOWER, BLANK)
+            or self.leader != request["l"]
+        ):
             self.become(role=FOLLOWER, term=request["t"], leader=request["l"], why="leader heard")
         self.election_timer_start = self.leader_heard_at = self.runtime.now()
         self.merge_lease_ages(request.get("h", {}))
         previous_index = request["li"]
-        if previous_index < self.base_i:
-            skip = self.base_i - previous_index
-            entries, previous_index, previous_term = request["es"][skip:], self.base_i, self.base_term
+        if previous_index < self.base_index:
+            skip = self.base_index - previous_index
+            entries, previous_index, previous_term = request["es"][skip:], self.base_index, self.base_term
             if skip > len(request["es"]):  # the snapshot covers them; it may not be on disk yet
                 answer = self.ack(yes=True)
                 self.after_sync(lambda: callback(Success(value=answer)))
@@ -112,11 +116,11 @@
             if entry[0] <= self.last():
                 if self.term_at(entry[0]) == entry[1]:
                     continue
-                self.book = self.book[: entry[0] - self.base_i - 1]
+                self.log_entries = self.log_entries[: entry[0] - self.base_index - 1]
                 self.unsynced = [pending for pending in self.unsynced if pending[0] < entry[0]]
                 self.synced = min(self.synced, entry[0] - 1)
                 self.drop_memberships_after(entry[0] - 1)
-            self.book.append(entry)
+            self.log_entries.append(entry)
             self.add_membership_entry(entry)
             self.unsynced.append(entry)
         last_held = previous_index + len(entries)
@@ -134,7 +138,7 @@
             "t": self.term,
             "yes": yes,
             "blank": self.blank,
-            "floor": self.floor,
+            "floor": self.minimum_term,
             "mark": max(self.checksums.items(), default=None),
             "last": self.last() if last is None else last,
         }
--- a/hollowhall/almanac/joining.py
+++ b/hollowhall/almanac/joining.py
@@ -25,12 +25,12 @@
         while True:
             await asyncio.sleep(constants.JOIN_REQUEST_PERIOD * (0.5 + self.runtime.rng.random()))
             if self.settings.addr not in self.store_addresses:
-                if self.blank and self.floor is None:
+                if self.blank and self.minimum_term is None:
                     continue  # unblank() has not learned yet who the members are
                 await self.store(op="join", request={"addr": self.settings.addr}, safe=True, total=1.0)
             elif (
                 self.runtime.now() - self.leader_heard_at > constants.REMOVED_CHECK_AFTER
-                and self.rank != LEADER
+                and self.election_role != LEADER
             ):
                 await self.check_removed()
 
@@ -41,7 +41,7 @@
             answer = await self.link(addr=peer).call(op="status", request={}, wait=0.5)
             if (
                 answer.ok
-                and answer.value["conf"]["v"] > self.conf["v"]
+                and answer.value["conf"]["v"] > self.membership["v"]
                 and answer.value["lead"]
                 and self.settings.addr
                 not in (*answer.value["conf"]["voters"], answer.value["conf"]["learner"])
@@ -56,12 +56,12 @@
 
     def on_join(self, *, request, callback, caller):
         """A store member asks to be added; queued until a change may begin."""
-        if self.rank != LEADER:
+        if self.election_role != LEADER:
             callback(NotLeader(hint=self.leader))
             return
         if request["addr"] not in self.store_addresses and self.settings.auto_members:
             self.join_requests[request["addr"]] = self.runtime.now()
-        callback(Success(value={"conf": self.conf}))
+        callback(Success(value={"conf": self.membership}))
 
     # --- orderly departure
 
@@ -86,7 +86,7 @@
 
     def on_depart(self, *, request, callback, caller):
         """A member is about to end. Answered at once; the membership changes when that is due."""
-        if self.rank != LEADER:
+        if self.election_role != LEADER:
             callback(NotLeader(hint=self.leader))
             return
         self.departing[request["addr"]] = self.runtime.now()
@@ -94,15 +94,15 @@
 
     def steer_automatic(self):
         """Proposes one membership change, if one is due. Called when none is in progress."""
-        membership, now = self.conf, self.runtime.now()
+        membership, now = self.membership, self.runtime.now()
         if membership["v"] == 0:
-            self.put_conf()  # puts the founders into the log, whatever seeds a restart names
+            self.propose_membership()  # puts the founders into the log, whatever seeds a restart names
             return
         if membership["learner"]:
             if now - self.learner_since > constants.SILENT_LEARNER_REMOVED_AFTER and not self.alive(
                 membership["learner"]
             ):
-                self.put_conf(learner="", out="", past=[*membership["past"], membership["learner"]])
+                self.propose_membership(learner="", out="", past=[*membership["past"], membership["learner"]])
             return
         self.join_requests = {
             address: asked_at
@@ -130,18 +130,20 @@
         remaining = [voter for voter in membership["voters"] if voter not in dead[:1]]
         if dead and even and self.has_live_majority(remaining):
             self.say(log_events.MEMBER_DROPPED, addr=dead[0], voters=len(remaining))
-            self.put_conf(voters=remaining, past=[*membership["past"], dead[0]])
+            self.propose_membership(voters=remaining, past=[*membership["past"], dead[0]])
         elif self.join_requests and (len(membership["voters"]) < constants.VOTERS_MAX or dead):
             address = min(self.join_requests)
             del self.join_requests[address]
             self.learner_since = now
             self.say(log_events.MEMBER_ASKS, addr=address)
-            self.put_conf(learner=address, past=[voter for voter in membership["past"] if voter != address])
+            self.propose_membership(
+                learner=address, past=[voter for voter in membership["past"] if voter != address]
+            )
 
     def unknown_to_majority(self, answers):
         """Whether a majority of the voters answered and no membership names this address: then it cannot
         have voted or acknowledged anything before."""
-        membership, own_address = self.conf, self.settings.addr
+        membership, own_address = self.membership, self.settings.addr
         memberships = [answer["conf"] for answer in answers.values()]
         return 2 * len(
             [voter for voter in membership["voters"] if voter in answers and not answers[voter]["blank"]]
--- a/hollowhall/almanac/keys.py
+++ b/hollowhall/almanac/keys.py
@@ -11,13 +11,13 @@
     revision of the last deletion."""
 
     def __init__(self):
-        self.rev, self.kv, self.holds, self.deletions = 0, {}, {}, {}
+        self.rev, self.kv, self.leases, self.deletions = 0, {}, {}, {}
 
     def pack(self):
-        return {"rev": self.rev, "kv": self.kv, "holds": self.holds, "gone": self.deletions}
+        return {"rev": self.rev, "kv": self.kv, "holds": self.leases, "gone": self.deletions}
 
     def load(self, state):
-        self.rev, self.kv, self.holds, self.deletions = (
+        self.rev, self.kv, self.leases, self.deletions = (
             state["rev"],
             state["kv"],
             state["holds"],
@@ -52,7 +52,7 @@
             self.rev += 1
         for operation in operations:
             if operation[0] == "put":
-                if operation[3] and operation[3] not in self.holds:
+                if operation[3] and operation[3] not in self.leases:
                     return Unknown(what="hold", id=str(operation[3]))
         for operation in operations:
             if operation[0] == "put":
@@ -64,12 +64,12 @@
         return Success(value={"yes": yes, "rev": self.rev, "got": got})
 
     def grant(self, *, lease, ttl, caller):
-        self.holds[lease] = {"ttl": ttl, "who": caller}
+        self.leases[lease] = {"ttl": ttl, "who": caller}
         return Success(value={"hold": lease})
 
     def revoke(self, *, lease):
         """Deletes a lease and the keys attached to it."""
-        if self.holds.pop(lease, None) is None:
+        if self.leases.pop(lease, None) is None:
             return Unknown(what="hold", id=str(lease))
         self.rev += 1
         for key in [name for name, entry in self.kv.items() if entry["hold"] == lease]:
--- a/hollowhall/almanac/members.py
+++ b/hollowhall/almanac/members.py
@@ -11,7 +11,7 @@
 from .vote import LEADER
 
 
-class MembersMixin:
+class FailureDetectionMixin:
     """The leader's view of the fleet: daemons that are down, the format level that all support, and state
     checksums."""
 
@@ -21,7 +21,7 @@
 
     def on_suspect(self, *, request, callback, caller):
         """A watcher's full list of the daemons that it suspects; replaces its previous list."""
-        if self.rank != LEADER:
+        if self.election_role != LEADER:
             callback(NotLeader(hint=self.leader))
             return
         self.suspicions[request["by"]] = (self.runtime.now(), set(request["ids"]))
@@ -96,7 +96,7 @@
         """The leader's task that marks daemons down or up by what their watchers report."""
         while True:
             await asyncio.sleep(constants.MONITORING_HEARTBEAT_PERIOD)
-            if self.rank != LEADER:
+            if self.election_role != LEADER:
                 self.suspicions = {}
                 continue
             if self.runtime.now() - self.led_since < constants.SUSPECT_AFTER_SILENCE:
--- a/hollowhall/almanac/pictures.py
+++ b/hollowhall/almanac/pictures.py
@@ -11,11 +11,11 @@
 from .vote import BLANK, FOLLOWER, LEADER
 
 
-class PicturesMixin:
+class SnapshotsMixin:
     """Takes, saves, sends and receives snapshots."""
 
-    def open_pictures(self):
-        self.snapshot_lock, self.snap_ev = asyncio.Lock(), asyncio.Event()
+    def open_snapshots(self):
+        self.snapshot_lock, self.snapshot_event = asyncio.Lock(), asyncio.Event()
         # (index, term, bytes) of the snapshot that is sent; (key, bytes so far) of one that is received
         self.outgoing_snapshot, self.incoming_snapshot = None, None
         self.snapshot_due = self.snapshot_interval()
@@ -29,7 +29,7 @@
 
     def snapshot_header(self):
         """What a snapshot holds besides the record: index, term, keys and membership."""
-        membership = self.conf_at(self.applied)
+        membership = self.membership_at(self.applied)
         return {
             "i": self.applied,
             "t": self.term_at(self.applied),
@@ -50,11 +50,11 @@
         )
         return taken and taken[1] | {"record": taken[0]}
 
-    async def keep_snaps(self):
+    async def run_snapshots(self):
         """The task that saves a snapshot whenever one is due."""
         while True:
-            await self.snap_ev.wait()
-            self.snap_ev.clear()
+            await self.snapshot_event.wait()
+            self.snapshot_event.clear()
             await self.save_snapshot()
 
     async def save_snapshot(self):
@@ -64,15 +64,15 @@
             snapshot = await self.take_snapshot()
             if snapshot is None or snapshot["i"] <= self.snap_i:
                 return
-            await self.ring.snap(d=snapshot)
+            await self.segments.snap(snapshot=snapshot)
             if snapshot["i"] <= self.snap_i:
                 return
             self.snap_i = snapshot["i"]
             cut = min(snapshot["i"], self.last()) - self.settings.snap_every // 4
-            if cut > self.base_i:
+            if cut > self.base_index:
                 cut_term = self.term_at(cut)
-                self.book = self.entries(cut + 1)
-                self.base_i, self.base_term = cut, cut_term
+                self.log_entries = self.entries(cut + 1)
+                self.base_index, self.base_term = cut, cut_term
             self.snapshot_due = self.snapshot_interval()
             self.say(log_events.SNAP_SAVED, index=snapshot["i"])
 
@@ -87,11 +87,11 @@
         """(index, term, bytes) of the snapshot on disk; None while one that was just received from the
         leader is still being written."""
         if self.outgoing_snapshot is None or self.outgoing_snapshot[0] != self.snap_i:
-            saved = self.ring.snapshot_bytes()
+            saved = self.segments.snapshot_bytes()
             self.outgoing_snapshot = saved and (saved[1], saved[2], saved[0])
         return (
             self.outgoing_snapshot
-            if self.outgoing_snapshot and self.outgoing_snapshot[0] >= self.base_i
+            if self.outgoing_snapshot and self.outgoing_snapshot[0] >= self.base_index
             else None
         )
 
@@ -117,7 +117,7 @@
             return await self.links[peer].call(
                 op="snap",
                 wait=5.0,
-                request={"t": term, "l": self.settings.addr, "d": snapshot, "h": self.keeps()},
+                request={"t": term, "l": self.settings.addr, "d": snapshot, "h": self.lease_ages()},
             ), snapshot["i"]
         while True:
             index = self.snapshot_to_send()[0]
@@ -125,14 +125,16 @@
             chunk = self.chunk(offset=progress[1] if progress and progress[0] == index else 0)
             sent_at = self.runtime.now()
             outcome = await self.links[peer].call(
-                op="snap", wait=5.0, request=chunk | {"t": term, "l": self.settings.addr, "h": self.keeps()}
+                op="snap",
+                wait=5.0,
+                request=chunk | {"t": term, "l": self.settings.addr, "h": self.lease_ages()},
             )
             if (
                 not outcome.ok
                 or "have" not in outcome.value
                 or self.term != term
                 or peer not in self.peers
-                or self.rank != LEADER
+                or self.election_role != LEADER
             ):
                 return outcome, index
             self.acked_at[peer], self.snapshot_progress[peer] = sent_at, (index, outcome.value["have"])
@@ -144,7 +146,11 @@
         if request["t"] < self.term:
             callback(Success(value=self.ack(yes=False)))
             return
-        if request["t"] > self.term or self.leader != request["l"] or self.rank not in (FOLLOWER, BLANK):
+        if (
+            request["t"] > self.term
+            or self.leader != request["l"]
+            or self.election_role not in (FOLLOWER, BLANK)
+        ):
             self.become(role=FOLLOWER, term=request["t"], leader=request["l"], why="leader heard")
         self.election_timer_start = self.leader_heard_at = self.runtime.now()
         self.merge_lease_ages(request.get("h", {}))
@@ -155,13 +161,13 @@
         if snapshot["i"] > self.applied:
             self.load_snapshot(snapshot)
             keep = self.term_at(snapshot["i"]) == snapshot["t"]
-            self.book = self.entries(snapshot["i"] + 1) if keep else []
+            self.log_entries = self.entries(snapshot["i"] + 1) if keep else []
             self.load_membership(snapshot, keep=keep)
             self.unsynced = [entry for entry in self.unsynced if keep and entry[0] > snapshot["i"]]
-            self.base_i, self.base_term = snapshot["i"], snapshot["t"]
+            self.base_index, self.base_term = snapshot["i"], snapshot["t"]
             self.commit = self.applied = self.snap_i = snapshot["i"]
             self.synced = max(self.synced, snapshot["i"]) if keep else snapshot["i"]
-            self.snap_in = snapshot | {"keep": keep}
+            self.received_snapshot = snapshot | {"keep": keep}
             self.say(log_events.SNAP_TAKEN, index=snapshot["i"])
             self.answer_polls()
         answer = self.ack(yes=True)
--- a/hollowhall/almanac/polls.py
+++ b/hollowhall/almanac/polls.py
@@ -36,7 +36,7 @@
 
     def out_of_touch(self):
         """Whether this replica has been cut off for so long that its state may be old."""
-        if self.rank == LEADER:
+        if self.election_role == LEADER:
             return self.contact_age() > constants.LEADER_CONTACT_MAX_AGE
         return self.runtime.now() - self.leader_heard_at > constants.LEADER_CONTACT_MAX_AGE
 
--- a/hollowhall/almanac/ring.py
+++ b/hollowhall/almanac/ring.py
@@ -17,13 +17,13 @@
 MAGIC = b"HHr1"
 
 
-def seal(*, seq, index, term, body):
+def encode_frame(*, seq, index, term, body):
     """The bytes of a frame."""
     crc = zlib.crc32(struct.pack(">QQQ", seq, index, term) + body)
     return HEAD.pack(MAGIC, len(body), crc, seq, index, term) + body
 
 
-def open_frame(*, buf, off, seq):
+def decode_frame(*, buf, off, seq):
     """(body, offset of the next frame, file sequence, index) of the frame at `off`, or None if there is no
     valid one. If `seq` is None, a frame of any file sequence is valid."""
     if off + HEAD.size > len(buf):
@@ -37,7 +37,7 @@
     return body, (off + HEAD.size + length + 7) & ~7, found_seq, index
 
 
-class Ring:
+class LogSegments:
     """The segment files, and the snapshot beside them. `sequences` has each file's sequence number, 0 if
     the file is free; `last_indexes` the last entry in it."""
 
@@ -54,7 +54,7 @@
         self.files = [self.disk.file(name=name, size=self.size) for name in names]
         buffers, found = [file.read() for file in self.files], []
         for number, buffer in enumerate(buffers):
-            frame = open_frame(buf=buffer, off=0, seq=None)
+            frame = decode_frame(buf=buffer, off=0, seq=None)
             if frame is not None:
                 found.append((frame[2], number))
         found.sort()
@@ -64,7 +64,7 @@
         for position, (seq, number) in enumerate(found):
             self.sequences[number] = seq
             offset, last = 0, position == len(found) - 1
-            while (frame := open_frame(buf=buffers[number], off=offset, seq=seq)) is not None:
+            while (frame := decode_frame(buf=buffers[number], off=offset, seq=seq)) is not None:
                 offset, content = frame[1], unpack(frame[0])
                 hard = content["h"]
                 while entries and "x" in content and entries[-1][0] > content["x"]:
@@ -98,7 +98,7 @@
         for number, buffer in enumerate(buffers):
             at = buffer.find(MAGIC) if number not in valid else -1
             while at >= 0:
-                frame = open_frame(buf=buffer, off=at, seq=None)
+                frame = decode_frame(buf=buffer, off=at, seq=None)
                 if frame is not None and frame[2] > newest:
                     raise Raised(DiskDamage(file=names[number], at=0, why="first frame is bad"))
                 at = buffer.find(MAGIC, at + 1)
@@ -108,7 +108,7 @@
         at = buf.find(MAGIC, offset)
         torn = at == offset
         while at >= 0:
-            if open_frame(buf=buf, off=at, seq=seq) is not None:
+            if decode_frame(buf=buf, off=at, seq=seq) is not None:
                 raise Raised(DiskDamage(file=name, at=offset, why="good frames behind a bad one"))
             at = buf.find(MAGIC, at + 1)
         if not last:
@@ -124,15 +124,18 @@
         data = self.disk.get(name="snap")
         if data is None:
             return None
-        frame = open_frame(buf=data, off=0, seq=0)
+        frame = decode_frame(buf=data, off=0, seq=0)
         if frame is None:
             raise Raised(DiskDamage(file="snap", at=0, why="checksum"))
         return frame[0], frame[3], HEAD.unpack_from(data)[5]
 
-    async def snap(self, *, d):
+    async def snap(self, *, snapshot):
         """Replaces the saved snapshot atomically and frees the files that it covers."""
-        await self.disk.whole(name="snap", data=seal(seq=0, index=d["i"], term=d["t"], body=pack(d)))
-        self.release(upto=d["i"])
+        await self.disk.whole(
+            name="snap",
+            data=encode_frame(seq=0, index=snapshot["i"], term=snapshot["t"], body=pack(snapshot)),
+        )
+        self.release(upto=snapshot["i"])
 
     def release(self, *, upto):
         """Frees the files without entries above `upto`, except the current one."""
@@ -144,18 +147,18 @@
         """The number of files that can be reused."""
         return sum(1 for number in range(self.file_count) if self.sequences[number] == 0)
 
-    async def put(self, *, hard, es, cut=None):
+    async def put(self, *, hard, entries, cut=None):
         """Writes and syncs one frame; raises Raised(DiskFailed). Must not be called concurrently. `cut`
         drops the entries above that index before `es` are added."""
-        index, term = (es[-1][0], es[-1][1]) if es else (0, 0)
-        body = pack({"h": hard, "e": es} | ({} if cut is None else {"x": cut}))
+        index, term = (entries[-1][0], entries[-1][1]) if entries else (0, 0)
+        body = pack({"h": hard, "e": entries} | ({} if cut is None else {"x": cut}))
         size, end_mark_size = HEAD.size + len(body) + 16, HEAD.size + 512
         if size + end_mark_size > self.size:
             raise Raised(DiskFailed(file="ring", why="frame larger than a file"))
         try:
             if self.sequence == 0 or self.offset + size + end_mark_size > self.size:
                 await self.next_file(hard)
-            frame = seal(seq=self.sequence, index=index, term=term, body=body)
+            frame = encode_frame(seq=self.sequence, index=index, term=term, body=body)
             await self.files[self.current].put(off=self.offset, data=frame)
         except OSError as e:
             raise Raised(DiskFailed(file="ring", why=e.strerror or "")) from None
@@ -169,7 +172,9 @@
         if self.sequences[following] != 0:
             raise Raised(DiskFailed(file="ring", why="ring is full of unsnapped entries"))
         if self.sequence:
-            end_mark = seal(seq=self.sequence, index=0, term=0, body=pack({"h": hard, "e": [], "z": 1}))
+            end_mark = encode_frame(
+                seq=self.sequence, index=0, term=0, body=pack({"h": hard, "e": [], "z": 1})
+            )
             await self.files[self.current].put(off=self.offset, data=end_mark)
         self.sequence, self.current, self.offset = self.sequence + 1, following, 0
         self.sequences[following], self.last_indexes[following] = self.sequence, 0
--- a/hollowhall/almanac/serve.py
+++ b/hollowhall/almanac/serve.py
@@ -31,9 +31,9 @@
             self.note_clock()
             return outcome
         if op == "grant":
-            self.kept[index] = self.runtime.now()
-            if self.rank == LEADER:
-                self.hold_ends[index] = self.runtime.now() + command[1]
+            self.lease_kept_at[index] = self.runtime.now()
+            if self.election_role == LEADER:
+                self.lease_ends[index] = self.runtime.now() + command[1]
             return self.keys.grant(lease=index, ttl=command[1], caller=command[2])
         if op == "revoke":
             outcome = self.keys.revoke(lease=command[1])
@@ -42,7 +42,7 @@
         if op == "members":
             return self.enact_membership(command[1])
         if op in ("turn", "edit", "level"):
-            for listener in self.listeners:
+            for listener in self.entry_listeners:
                 listener(op, command[1])
             outcome = self.record.enact(op=op, d=command[1])
             if op == "level":
@@ -62,7 +62,7 @@
             return
 
         def test(final):
-            if index < self.base_i:
+            if index < self.base_index:
                 if request.get("level", 0) and self.record.level:
                     chunk = self.chunk(
                         offset=request["off"] if request.get("of") == [self.settings.addr, self.snap_i] else 0
@@ -113,7 +113,7 @@
                 for entry in self.entries(have + 1)
                 if entry[0] <= self.applied and entry[2][:6] in RECORD_PREFIXES
             ]
-            gap = have < self.base_i
+            gap = have < self.base_index
             callback(
                 Success(
                     value={
@@ -194,17 +194,17 @@
     def on_keep(self, *, request, callback, caller):
         """A keep-alive of a lease; confirmed only by a leader that a majority still follows."""
         lease = request["hold"]
-        self.kept[lease] = (
+        self.lease_kept_at[lease] = (
             self.runtime.now()
         )  # set before the appends that confirm the keep-alive, which carry it
 
         def then(failure):
             if failure is not None:
                 callback(failure)
-            elif lease not in self.keys.holds or lease in self.expiring or self.rank != LEADER:
+            elif lease not in self.keys.leases or lease in self.expiring or self.election_role != LEADER:
                 callback(Unknown(what="hold", id=str(lease)))
             else:
-                self.hold_ends[lease] = self.runtime.now() + self.keys.holds[lease]["ttl"]
+                self.lease_ends[lease] = self.runtime.now() + self.keys.leases[lease]["ttl"]
                 callback(Success(value={}))
 
         self.read(callback=then)
@@ -216,11 +216,11 @@
             await asyncio.sleep(constants.LEADER_CHECK_PERIOD)
             if self.polls and self.out_of_touch():
                 self.drop_polls()
-            if self.rank != LEADER or self.term_at(self.commit) != self.term:
+            if self.election_role != LEADER or self.term_at(self.commit) != self.term:
                 continue
             now = self.runtime.now()
-            for lease in list(self.keys.holds):
-                if self.hold_ends.get(lease, now) < now and lease not in self.expiring:
+            for lease in list(self.keys.leases):
+                if self.lease_ends.get(lease, now) < now and lease not in self.expiring:
                     self.expiring.add(lease)
                     self.propose(request=pack(["revoke", lease]), callback=lambda outcome: None)
 
--- a/hollowhall/almanac/vote.py
+++ b/hollowhall/almanac/vote.py
@@ -12,17 +12,17 @@
 BLANK, FOLLOWER, CANDIDATE, LEADER = "blank", "follower", "candidate", "leader"
 
 
-class VoteMixin:
+class ElectionMixin:
     """Elections, and the steps into and out of leadership."""
 
     def become(self, *, role, term=None, leader="", why=""):
         """The only place where this replica's election role or term changes."""
-        previous, previous_term = self.rank, self.term
+        previous, previous_term = self.election_role, self.term
         if term is not None and term > self.term:
             self.term, self.vote, self.hard_dirty = term, "", True
         if self.blank and role != LEADER:
             role = BLANK
-        self.rank, self.leader = role, leader
+        self.election_role, self.leader = role, leader
         if leader:  # requests that this process sends to the store go to this leader
             self.known_leaders["store"] = leader
         self.election_timer_start = self.runtime.now()
@@ -37,7 +37,7 @@
         if (previous, previous_term) != (role, self.term):
             self.say(log_events.ROLE, role=role, was=previous, term=self.term, why=why)
         if self.hard_dirty:
-            self.disk_ev.set()
+            self.disk_event.set()
 
     def majority(self):
         return len(self.voters) // 2 + 1
@@ -59,14 +59,14 @@
             slept, last = now - last > constants.FROZEN_LOOP_LAG, now
             if slept:
                 self.election_timer_start = now
-            if self.rank == LEADER:
+            if self.election_role == LEADER:
                 if self.disk_stalled():
                     self.say(log_events.DISK_STALLED)
                     self.become(role=FOLLOWER, why="disk stalled")
                 elif slept or self.quorum_age() > constants.ELECTION_TIMEOUT_MAX:
                     self.become(role=FOLLOWER, why="quorum not heard")
             elif self.blank:
-                await self.unblank()
+                await self.recover_blank()
             elif now - self.election_timer_start > self.election_timeout and not self.disk_stalled():
                 await self.campaign()
 
@@ -143,12 +143,12 @@
         self.become(role=CANDIDATE, term=term, why="forced" if forced else "no leader heard")
         self.vote, self.hard_dirty = self.settings.addr, True
         await self.wait_synced()
-        if self.term != term or self.rank != CANDIDATE:
+        if self.term != term or self.election_role != CANDIDATE:
             return
         if (
             await self.request_votes(op="vote", term=term, forced=forced)
             and self.term == term
-            and self.rank == CANDIDATE
+            and self.election_role == CANDIDATE
         ):
             self.become(role=LEADER, leader=self.settings.addr, why="elected")
 
@@ -159,12 +159,13 @@
     def may_vote(self):
         """A blank replica may not: it may have voted before its disk was lost. A minimum term of 0 means
         that it was never a member."""
-        return not self.blank or self.floor == 0
+        return not self.blank or self.minimum_term == 0
 
     def on_prevote(self, *, request, callback, caller):
         """Whether this member would vote for the candidate: only if it has not heard a leader lately."""
         leader_silent = (
-            self.rank != LEADER and self.runtime.now() - self.leader_heard_at > constants.ELECTION_TIMEOUT_MIN
+            self.election_role != LEADER
+            and self.runtime.now() - self.leader_heard_at > constants.ELECTION_TIMEOUT_MIN
         )
         granted = (
             self.may_vote() and leader_silent and request["t"] > self.term and self.log_up_to_date(request)
@@ -178,7 +179,7 @@
         granted = (
             request["t"] == self.term
             and self.may_vote()
-            and self.rank != LEADER
+            and self.election_role != LEADER
             and self.vote in ("", request["c"])
             and self.log_up_to_date(request)
             and not self.disk_stalled()
@@ -193,7 +194,7 @@
                     value={
                         "t": term,
                         "yes": granted,
-                        "h": self.keeps(),
+                        "h": self.lease_ages(),
                         "born": self.runtime.now() - self.started_at,
                     }
                 )
@@ -202,7 +203,7 @@
 
     def on_now(self, *, request, callback, caller):
         """The leader hands its leadership over to this replica, which campaigns at once."""
-        if request["t"] == self.term and self.rank == FOLLOWER and not self.blank:
+        if request["t"] == self.term and self.election_role == FOLLOWER and not self.blank:
             self.run_task(coroutine=self.campaign(forced=True), name="campaign")
         callback(Success())
 
@@ -213,11 +214,11 @@
             for successor in self.voter_peers
             if successor not in self.blank_peers and self.links[successor].up
         ]
-        if self.rank != LEADER or not candidates:
+        if self.election_role != LEADER or not candidates:
             return
         successor = max(candidates, key=lambda peer: self.match.get(peer, 0))
         for _ in range(20):
-            if self.match.get(successor, 0) >= self.last() or self.rank != LEADER:
+            if self.match.get(successor, 0) >= self.last() or self.election_role != LEADER:
                 break
             self.replication_events[successor].set()
             await asyncio.sleep(constants.LEADER_CHECK_PERIOD)
--- a/hollowhall/explore/breadth.py
+++ b/hollowhall/explore/breadth.py
@@ -12,7 +12,7 @@
     events = [("deliver", n) for n in cluster.network.messages]
     for replica in cluster.running():
         address = replica.settings.addr
-        if replica.rank == LEADER:
+        if replica.election_role == LEADER:
             for peer in replica.peers:
                 task = cluster.append_tasks.get((address, peer))
                 if task is None or task.done():
--- a/hollowhall/explore/cluster.py
+++ b/hollowhall/explore/cluster.py
@@ -5,7 +5,7 @@
 
 from collections import Counter
 
-from ..almanac.ring import Ring
+from ..almanac.ring import LogSegments
 from ..almanac.vote import LEADER
 from ..base.circuit import pack
 from ..base.params import DaemonSettings
@@ -66,10 +66,10 @@
         bodies = [["noop"], ["members", membership]] + [["level", n + 1] for n in range(FORMAT_LEVEL)]
         entries = [[n + 1, 1, pack(body)] for n, body in enumerate(bodies)]
         for address in voters:
-            segments = Ring(disk=self.disks[address], files=LOG_SEGMENTS, size=LOG_SEGMENT_BYTES)
+            segments = LogSegments(disk=self.disks[address], files=LOG_SEGMENTS, size=LOG_SEGMENT_BYTES)
             segments.load()
             hard_state = {"t": 1, "v": "", "m": True, "f": None}
-            self.loop.complete(segments.put(hard=hard_state, es=entries))
+            self.loop.complete(segments.put(hard=hard_state, entries=entries))
 
     # --- replicas
 
@@ -78,7 +78,7 @@
 
     def leader(self):
         """The running leader of the newest term, or None."""
-        leaders = [r for r in self.running() if r.rank == LEADER]
+        leaders = [r for r in self.running() if r.election_role == LEADER]
         return max(leaders, key=lambda r: r.term, default=None)
 
     def start(self, address):
@@ -115,7 +115,7 @@
 
     def _note_durable_state(self, address):
         """Reads from its disk which entries a stopped replica holds and whether it may vote."""
-        segments = Ring(disk=self.disks[address], files=LOG_SEGMENTS, size=LOG_SEGMENT_BYTES)
+        segments = LogSegments(disk=self.disks[address], files=LOG_SEGMENTS, size=LOG_SEGMENT_BYTES)
         try:
             hard_state, snapshot, entries = segments.load()
         except Raised as error:
@@ -132,7 +132,7 @@
     def current_voters(self):
         """The voters of the newest membership that any replica has known as committed."""
         for replica in self.running():
-            committed = replica.conf_at(replica.commit)
+            committed = replica.membership_at(replica.commit)
             if replica.commit >= 2 and committed["v"] > self.newest_membership["v"]:
                 self.newest_membership = committed
         return self.newest_membership["voters"]
@@ -147,7 +147,7 @@
         """Whether a replica, running or not, holds the entry in its log or in a snapshot."""
         if address in self.replicas:
             replica = self.replicas[address]
-            return replica.base_i >= index or replica.term_at(index) == term
+            return replica.base_index >= index or replica.term_at(index) == term
         snapshot_index, entries = self.durable.get(address, (0, {}))
         return snapshot_index >= index or entries.get(index) == term
 
@@ -165,30 +165,30 @@
             if replica is None:
                 replica_parts.append((address, self.durable.get(address)))
                 continue
-            log = tuple((index, term) for index, term, _ in replica.book)
+            log = tuple((index, term) for index, term, _ in replica.log_entries)
             replica_parts.append(
                 (
                     address,
-                    replica.rank,
+                    replica.election_role,
                     replica.term,
                     replica.vote,
                     replica.leader,
-                    replica.base_i,
+                    replica.base_index,
                     log,
                     replica.commit,
                     replica.applied,
                     replica.synced,
                 )
                 + (
-                    replica.conf["v"],
+                    replica.membership["v"],
                     replica.blank,
-                    replica.floor,
+                    replica.minimum_term,
                     tuple(sorted(replica.match.items())),
-                    len(replica.reads),
-                    len(replica.waits),
+                    len(replica.pending_reads),
+                    len(replica.pending_proposals),
                 )
                 + (
-                    tuple(sorted(replica.acked_n.items())),
+                    tuple(sorted(replica.acked_number.items())),
                     len(replica.ballots),
                     self.disks[address].syncs_held,
                 )
--- a/hollowhall/explore/command.py
+++ b/hollowhall/explore/command.py
@@ -147,8 +147,8 @@
             self.line(" ".join(map(str, event)))
         for replica in cluster.running():
             self.line(
-                f"{replica.settings.addr} {replica.rank} term {replica.term} commit {replica.commit} "
-                f"last {replica.last()} list {replica.conf['v']}"
+                f"{replica.settings.addr} {replica.election_role} term {replica.term} commit {replica.commit} "
+                f"last {replica.last()} list {replica.membership['v']}"
             )
         cluster.close()
         if violation is None:
--- a/hollowhall/explore/events.py
+++ b/hollowhall/explore/events.py
@@ -38,10 +38,10 @@
         """The leader sends its next append request, or a chunk of a snapshot, to a peer."""
         replica = self.replicas.get(address)
         task = self.append_tasks.get((address, peer))
-        if replica is None or replica.rank != LEADER or peer not in replica.peers:
+        if replica is None or replica.election_role != LEADER or peer not in replica.peers:
             return
         if task is None or task.done():
-            self.append_tasks[address, peer] = replica.start_task(replica.feed_once(peer))
+            self.append_tasks[address, peer] = replica.start_task(replica.replicate_once(peer))
 
     def do_deliver(self, number, keep_in_flight=False):
         """Delivers a message; with `keep_in_flight` it is a duplicate, and the message can arrive again."""
@@ -77,7 +77,7 @@
     def _note_invalid_vote(self, replica, message, outcome):
         """Records a vote of an empty replica, unless no member has ever known its address (floor 0)."""
         if message.operation == "vote" and outcome.ok and outcome.value["yes"]:
-            if replica.blank and replica.floor != 0:
+            if replica.blank and replica.minimum_term != 0:
                 self.invalid_votes.append(f"{replica.settings.addr} votes in term {outcome.value['t']}")
 
     def do_lose(self, number):
@@ -134,14 +134,14 @@
         """The leader proposes the next step of a membership change, if there is one."""
         replica = self.replicas.get(address)
         if replica is not None and replica.settled():
-            replica.steer_once()
+            replica.advance_membership()
 
     def do_knock(self, address):
         """A replica that is no member asks the leader to add it."""
         replica, leader = self.replicas.get(address), self.leader()
         if replica is None or leader is None or address in replica.store_addresses:
             return
-        if not (replica.blank and replica.floor is None):
+        if not (replica.blank and replica.minimum_term is None):
             leader.serve(op="join", request={"addr": address}, caller=address, callback=lambda outcome: None)
 
     def do_depart(self, address):
@@ -156,7 +156,7 @@
         """Makes the replica take a snapshot, if it has applied entries since the last one."""
         replica = self.replicas.get(address)
         if replica is not None and replica.applied > replica.snap_i:
-            replica.snap_ev.set()
+            replica.snapshot_event.set()
 
     def do_order(self, address, number, base, author):
         """An operator sends a configuration change; an equal one sent before is retried."""
--- a/hollowhall/explore/invariants.py
+++ b/hollowhall/explore/invariants.py
@@ -10,7 +10,7 @@
 def one_leader_a_term(cluster):
     """A term has at most one leader."""
     for replica in cluster.running():
-        if replica.rank == LEADER:
+        if replica.election_role == LEADER:
             other = cluster.leader_of_term.setdefault(
                 replica.term, (replica.settings.addr, replica.incarnation)
             )
@@ -22,7 +22,7 @@
     """All replicas, at all times, know the same entry as committed at an index."""
     for replica in cluster.running():
         address = replica.settings.addr
-        start = max(replica.base_i, cluster.checked_to.get((address, replica.incarnation), 0))
+        start = max(replica.base_index, cluster.checked_to.get((address, replica.incarnation), 0))
         for index, term, body in replica.entries(start + 1):
             if index > replica.commit:
                 break
@@ -36,11 +36,11 @@
     """A new leader's log contains every entry that was committed before."""
     for replica in cluster.running():
         key = (replica.term, replica.settings.addr)
-        if replica.rank != LEADER or key in cluster.checked_leaders:
+        if replica.election_role != LEADER or key in cluster.checked_leaders:
             continue
         cluster.checked_leaders.add(key)
         for index, (term, _) in cluster.committed.items():
-            if index > replica.base_i and replica.term_at(index) != term:
+            if index > replica.base_index and replica.term_at(index) != term:
                 yield f"leader {replica.settings.addr} of term {replica.term} lacks index {index}"
 
 
@@ -74,9 +74,9 @@
     """A leader counts only its membership's voters, and no vote comes from a member that restarted
     with an empty disk and has not caught up."""
     for replica in cluster.running():
-        if replica.rank == LEADER:
+        if replica.election_role == LEADER:
             for address in replica.voter_peers:
-                if address not in replica.conf["voters"]:
+                if address not in replica.membership["voters"]:
                     yield f"{replica.settings.addr} counts {address}"
     yield from cluster.invalid_votes
 
--- a/hollowhall/explore/replica.py
+++ b/hollowhall/explore/replica.py
@@ -4,7 +4,7 @@
 import asyncio
 import random
 
-from ..almanac import Almanac
+from ..almanac import StoreMember
 from ..almanac.vote import LEADER
 from ..base import constants
 from ..sim.disk import SimDisk
@@ -80,7 +80,7 @@
         return lambda event, **fields: self.events.append((event.number, fields))
 
 
-class ModelReplica(Almanac):
+class ModelReplica(StoreMember):
     """A replica from one start to the next; `incarnation` counts its starts."""
 
     def __init__(self, *, settings, runtime, network, incarnation):
@@ -104,18 +104,18 @@
         """Reads the disk and opens each part, as a start does before the periodic tasks."""
         self.ended = asyncio.Event()
         self.open_store()
-        self.open_conf()
-        self.disk_ev = asyncio.Event()
-        self.open_pictures()
+        self.open_membership()
+        self.disk_event = asyncio.Event()
+        self.open_snapshots()
         self.open_serve()
         self.open_clock()
         self.restore()
         self.open_members()
         self.run_task(coroutine=self.keep_disk(), name="disk")
-        self.run_task(coroutine=self.keep_snaps(), name="snaps")
+        self.run_task(coroutine=self.run_snapshots(), name="snaps")
         self.open_joining()
         self.opened = True
-        self.use_conf()
+        self.apply_membership()
 
     def stop(self):
         for task in self.tasks:
@@ -125,11 +125,11 @@
 
     def time_out(self):
         """What the leader check does after an election timeout: step down, recover, or campaign."""
-        if self.rank == LEADER:
+        if self.election_role == LEADER:
             if self.quorum_age() > constants.ELECTION_TIMEOUT_MAX:
                 self.become(role="follower", why="quorum not heard")
         elif self.blank:
-            self.start_task(self.unblank())
+            self.start_task(self.recover_blank())
         else:
             self.start_task(self.campaign())
 
--- a/hollowhall/explore/walks.py
+++ b/hollowhall/explore/walks.py
@@ -61,7 +61,7 @@
 
 
 def choose_append(cluster, setting, rng):
-    leaders = [r for r in cluster.running() if r.rank == LEADER and r.peers]
+    leaders = [r for r in cluster.running() if r.election_role == LEADER and r.peers]
     if not leaders:
         return None
     leader = rng.choice(leaders)
@@ -70,7 +70,7 @@
 
 def choose_leader(name):
     def choose(cluster, setting, rng):
-        leaders = [r.settings.addr for r in cluster.running() if r.rank == LEADER]
+        leaders = [r.settings.addr for r in cluster.running() if r.election_role == LEADER]
         return (name, rng.choice(leaders)) if leaders else None
 
     return choose
@@ -78,7 +78,7 @@
 
 def choose_order(cluster, setting, rng):
     """A retry of a recent order, or a new one, whose number may be in use already."""
-    leaders = [r for r in cluster.running() if r.rank == LEADER]
+    leaders = [r for r in cluster.running() if r.election_role == LEADER]
     if not leaders:
         return None
     leader = rng.choice(leaders)
--- a/hollowhall/hall/__init__.py
+++ b/hollowhall/hall/__init__.py
@@ -8,7 +8,7 @@
 
 from mode import Service
 
-from ..almanac import Almanac
+from ..almanac import StoreMember
 from ..almanac.vote import LEADER
 from ..base import constants
 from ..desk import Desk
@@ -23,7 +23,7 @@
         self.local_daemons = {almanac.settings.addr: almanac}
         self.loop_time = almanac.loop_time  # both run in one event loop
         self.known_leaders = almanac.known_leaders
-        almanac.listeners.append(self.before)
+        almanac.entry_listeners.append(self.before)
 
     @property
     def record(self):
@@ -64,7 +64,7 @@
     async def defer_campaign(self):
         """Lets the scheduler beside the store's leader go first: its batches need no network hop."""
         almanac = self.almanac
-        if almanac.rank != LEADER:
+        if almanac.election_role != LEADER:
             await asyncio.sleep(constants.KEEPALIVE_PERIOD * (0.6 + 0.4 * self.runtime.rng.random()))
 
     def can_read_all(self):
@@ -84,7 +84,7 @@
     def __init__(self, *, settings, runtime):
         super().__init__()
         self.settings, self.runtime = settings, runtime
-        self.store = Almanac(settings=settings, runtime=runtime)
+        self.store = StoreMember(settings=settings, runtime=runtime)
         desk_params = type(settings)(
             **{
                 **settings.__dict__,
--- a/hollowhall/sim/world.py
+++ b/hollowhall/sim/world.py
@@ -7,7 +7,7 @@
 import gc
 import random
 
-from ..almanac import Almanac
+from ..almanac import StoreMember
 from ..base.params import DaemonSettings
 from ..base.problems import Unsure
 from ..desk import Desk
@@ -21,7 +21,7 @@
 BASE_MS = 1_780_000_000_000  # true time at the start of every simulation
 CPU = (8e-6, 50e-6, 0.1e-6, 215e-6)  # s of CPU time: a callback, a frame, a byte of a frame, an HTTP request
 DAEMON_PACE, WORKER_PACE = 0.0005, 0.05  # fraction by which the rates of monotonic clocks differ
-ROLES = {"almanac": Almanac, "desk": Desk, "mast": Mast}
+ROLES = {"almanac": StoreMember, "desk": Desk, "mast": Mast}
 
 
 class SimSeam:
@@ -221,7 +221,7 @@
             if self.cards[name]["role"] == role and hasattr(
                 node.daemon, "rank" if role == "almanac" else "part"
             ):
-                state = node.daemon.rank if role == "almanac" else node.daemon.part
+                state = node.daemon.election_role if role == "almanac" else node.daemon.part
                 if state == part:
                     names.append(name)
         return names
--- a/hollowhall/tools/measure/measure.py
+++ b/hollowhall/tools/measure/measure.py
@@ -146,7 +146,7 @@
         await asyncio.sleep(2)
         alm = [x.daemon for n, x in w.nodes.items() if n.startswith("almanac")]
         desk = w.nodes[w.who("desk", "primary")[0]].daemon
-        t0 = [(a.ring.syncs, a.ring.bytes) for a in alm], desk.batch_count, desk.event_count
+        t0 = [(a.segments.syncs, a.segments.bytes) for a in alm], desk.batch_count, desk.event_count
         load = asyncio.ensure_future(req.run(mix=w.shape.mix, seconds=20, settle=5))
         far = []
         for _ in range(8):
@@ -162,8 +162,8 @@
             far.append(w.loop.vt - t)
             await asyncio.sleep(1.5)
         n = desk.batch_count - t0[1]
-        out["syncs a turn, one member"] = sum(a.ring.syncs - b[0] for a, b in zip(alm, t0[0])) / 3 / n
-        out["bytes a turn, one member"] = sum(a.ring.bytes - b[1] for a, b in zip(alm, t0[0])) / 3 / n
+        out["syncs a turn, one member"] = sum(a.segments.syncs - b[0] for a, b in zip(alm, t0[0])) / 3 / n
+        out["bytes a turn, one member"] = sum(a.segments.bytes - b[1] for a, b in zip(alm, t0[0])) / 3 / n
         out["stamps a batch"] = (desk.event_count - t0[2]) / n
         out["turns a second"] = n / 20
         out["edit to all masts, s"] = max(far)
--- a/hollowhall/tools/operate/restore.py
+++ b/hollowhall/tools/operate/restore.py
@@ -12,7 +12,7 @@
 from cleo.commands.command import Command
 from cleo.helpers import option
 
-from ...almanac.ring import Ring
+from ...almanac.ring import LogSegments
 from ...base import constants
 from ...base import params as P
 from ...base.circuit import pack, unpack
@@ -39,7 +39,7 @@
 async def restore(*, disk, settings, write):
     """Summarizes what is on the disk; with `write`, makes its member the only one. Raises Raised(Refused) if the
     disk is not that of a voting member."""
-    log = Ring(disk=disk, files=settings.ring_files, size=settings.ring_bytes)
+    log = LogSegments(disk=disk, files=settings.ring_files, size=settings.ring_bytes)
     hard, snapshot, entries = log.load()
     if not hard.get("m"):
         raise Raised(Refused(why="this disk holds no member that counts"))
@@ -69,7 +69,7 @@
         term = hard["t"] + 1
         await log.put(
             hard={"t": term, "v": settings.addr, "m": True},
-            es=[[last + 1, term, pack(["members", sole_member])]],
+            entries=[[last + 1, term, pack(["members", sole_member])]],
         )
     return {
         "last": last,
--- a/hollowhall/tools/run.py
+++ b/hollowhall/tools/run.py
@@ -10,7 +10,7 @@
 from cleo.commands.command import Command
 from cleo.helpers import option
 
-from ..almanac import Almanac
+from ..almanac import StoreMember
 from ..base import log_events
 from ..base import params as P
 from ..base.problems import DiskDamage, Raised
@@ -19,7 +19,7 @@
 from ..hall import Hall
 from ..mast import Mast
 
-ROLES = {"almanac": Almanac, "desk": Desk, "mast": Mast, "hall": Hall}
+ROLES = {"almanac": StoreMember, "desk": Desk, "mast": Mast, "hall": Hall}
 SINGLE_FLAGS = ("id", "addr", "http", "bind", "zone", "cluster", "data", "log", "desk")
 
 
--- a/hollowhall/tools/scale/counted.py
+++ b/hollowhall/tools/scale/counted.py
@@ -85,9 +85,9 @@
 def duty(d):
     """What a daemon is now, and its own counters."""
     if d.role == "almanac":
-        r = d.ring
+        r = d.segments
         return {
-            "duty": d.rank,
+            "duty": d.election_role,
             "clock": d.clk is not None,
             "entries": d.applied,
             "syncs": r.syncs,
--- a/hollowhall/tools/scale/virtual.py
+++ b/hollowhall/tools/scale/virtual.py
@@ -69,11 +69,11 @@
     """A daemon's own counters, and what it is now."""
     if d.role == "almanac":
         return {
-            "duty": d.rank,
+            "duty": d.election_role,
             "clock": d.clk is not None,
             "entries": d.applied,
-            "syncs": d.ring.syncs,
-            "disk_b": d.ring.bytes,
+            "syncs": d.segments.syncs,
+            "disk_b": d.segments.bytes,
             "stamp_calls": d.stamp_calls,
         }
     if d.role == "desk":
--- a/tests/model_script.py
+++ b/tests/model_script.py
@@ -49,13 +49,13 @@
 
     def elect(self, candidate, *voters):
         """The candidate asks only these voters and is elected by their votes."""
-        if self.replica(candidate).rank == "leader":
+        if self.replica(candidate).election_role == "leader":
             self.play("timeout", candidate)  # the leader has lost contact with the majority and steps down
         self.play("timeout", candidate)
         for operation in ("prevote", "vote"):
             for voter in voters:
                 self.exchange(candidate, voter, operation)
-        assert self.replica(candidate).rank == "leader"
+        assert self.replica(candidate).election_role == "leader"
 
     def append(self, leader, peer, times=1):
         """The leader sends appends, or chunks of a snapshot, to a peer, and hears the replies."""
--- a/tests/parts.py
+++ b/tests/parts.py
@@ -20,7 +20,7 @@
 PAUSE = ("pause_turn", "pause_primary", "pause_append", "pause_leader")
 PARTS = {
     "epoch and stamp fence": (with_record(P.NoFences), ("pause_lost",), "twice"),
-    "epoch fence": (with_record(P.NoEpochs), ("pause_lost",), "twice"),
+    "epoch fence": (with_record(P.NoEpochFence), ("pause_lost",), "twice"),
     "stamp fence": (with_record(P.NoStampFence), ("pause_lost",), "twice"),
     "stamp fence behind a clock without its bound": (
         with_record(P.NoStampFence, almanac=P.NoBound),
@@ -44,7 +44,11 @@
         ("lose_disk", "split_core", "slow_disk"),
         "forgotten",
     ),
-    "sync before telling": (with_almanac(weaker.Unsynced), ("power_all", "power_primary"), "forgotten"),
+    "sync before telling": (
+        with_almanac(weaker.AnswersUnsynced),
+        ("power_all", "power_primary"),
+        "forgotten",
+    ),
     "starts are good for 1 s": (with_desk(P.NoStartExpiry), ("late_start",), "leaving-starts"),
     "worker's margin": (with_desk(P.NoMargin), ("mate_cut", "mate_cut", "burst"), "twice"),
     "fresh holds on a handover": (with_desk(P.StaleLeases), ("kill_primary", "mate_cut"), "twice"),
@@ -57,7 +61,7 @@
     "a new boot beats twice": (with_desk(P.AcceptsLateBeats), ("late_beat",), "twice"),
     "boots remembered": (with_record(P.NoBoots, desk=P.AcceptsLateBeats), ("late_beat",), "twice"),
     "unsure is said": (with_desk(P.NeverUnsure), ("shots",), "refused-runs"),
-    "lost workers' tasks wait": (with_record(P.NeverWaits), ("mate_run_on", "racked"), "twice"),
+    "lost workers' tasks wait": (with_record(P.RestartsLostAtOnce), ("mate_run_on", "racked"), "twice"),
     "stops are told": (with_desk(P.NeverSendsStops), ("cancels",), "cancelled-runs"),
     "only what was sent": (with_record(P.InventsJobs), ("burst",), "unsent-runs"),
     "visible within 3 s": (with_desk(P.StaleJobReads), ("burst",), "forgotten"),
@@ -68,7 +72,7 @@
     ),
     "readable for minutes": (with_record(P.ForgetsEndedJobs), ("burst",), "forgotten"),
     "service within 12 s": (with_almanac(P.SlowCampaign), ("kill_leader",), "no-service"),
-    "not lost with one disk": (with_almanac(weaker.Alone), ("lose_disk", "split_leader"), "any"),
+    "not lost with one disk": (with_almanac(weaker.CommitsAlone), ("lose_disk", "split_leader"), "any"),
 }
 
 
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -7,7 +7,7 @@
 import pytest
 import weak as weaker
 
-from hollowhall.almanac import Almanac
+from hollowhall.almanac import StoreMember
 from hollowhall.base import constants
 from hollowhall.sim.faults import Faults, schedule
 from hollowhall.sim.world import World
@@ -16,7 +16,7 @@
 KINDS = ["pause_clock", "kill_leader", "pause_leader", "wall_jump", "split_core", "power"]
 
 
-class NoBound(Almanac):
+class NoBound(StoreMember):
     """Starts at its own wall clock and ignores the saved bound."""
 
     async def estimate_now(self):
@@ -33,11 +33,11 @@
         return True
 
 
-def make_world(seed, build=Almanac):
+def make_world(seed, build=StoreMember):
     return World(seed=seed, shape=SHAPES["cymylau"], desks=1, masts=1, build=weaker.REAL | {"almanac": build})
 
 
-def issued_stamps(seed, build=Almanac):
+def issued_stamps(seed, build=StoreMember):
     """All timestamps issued in a run of clock faults: [(epoch, first, last, true time in ms)]."""
     world, issued = make_world(seed, build), []
 
@@ -131,7 +131,7 @@
 
 def test_without_the_bound_they_do():
     assert overlaps_after_kill(NoBound) > 0
-    assert overlaps_after_kill(Almanac) == 0
+    assert overlaps_after_kill(StoreMember) == 0
 
 
 @pytest.mark.parametrize("jump", [-3_600_000, -5000, 5000, 3_600_000])
--- a/tests/test_control_points.py
+++ b/tests/test_control_points.py
@@ -6,7 +6,7 @@
 from control_points import POINTS, play
 from control_shapes import sent_again_after_many
 
-from hollowhall.almanac import Almanac
+from hollowhall.almanac import StoreMember
 from hollowhall.record import Record
 
 
@@ -20,7 +20,7 @@
     async def depart(self):
         pass
 
-    monkeypatch.setattr(Almanac, "depart", depart)
+    monkeypatch.setattr(StoreMember, "depart", depart)
     with pytest.raises(AssertionError, match="no majority is left"):
         play(planned_then_lost, 1)
 
--- a/tests/test_control_power.py
+++ b/tests/test_control_power.py
@@ -62,7 +62,7 @@
     async def go():
         world.start_all()
         await world.until(all_members_up(world, 3))
-        await world.until(lambda: all(hall.store.conf["v"] >= 1 for hall in world.halls()))
+        await world.until(lambda: all(hall.store.membership["v"] >= 1 for hall in world.halls()))
         world.add_controller(9)
         world.start("hall-9")
         await world.until(lambda: all(len(hall.store.voters) == 4 for hall in world.halls()))
--- a/tests/test_hall.py
+++ b/tests/test_hall.py
@@ -88,9 +88,9 @@
         world.start_all()
         await world.until(all_members_up(world, count))
         (primary,) = world.primary()
-        assert primary.store.rank == LEADER  # the primary scheduler is beside the store's leader
+        assert primary.store.election_role == LEADER  # the primary scheduler is beside the store's leader
         await world.until(
-            lambda: all(hall.store.conf["v"] >= 1 for hall in world.halls())
+            lambda: all(hall.store.membership["v"] >= 1 for hall in world.halls())
         )  # the membership is in the log
 
     world.run(go())
@@ -123,7 +123,7 @@
         gone = next(
             name
             for name in world.nodes
-            if name.startswith("hall") and (world.nodes[name].daemon.store.rank == LEADER) == leader
+            if name.startswith("hall") and (world.nodes[name].daemon.store.election_role == LEADER) == leader
         )
         world.power_off(world.cards[gone]["machine"])
         await asyncio.sleep(2)
@@ -150,11 +150,11 @@
     async def go():
         world.start_all()
         await world.until(all_members_up(world, 3))
-        await world.until(lambda: all(hall.store.conf["v"] >= 1 for hall in world.halls()))
+        await world.until(lambda: all(hall.store.membership["v"] >= 1 for hall in world.halls()))
         name = next(
             other
             for other in world.nodes
-            if other.startswith("hall") and world.nodes[other].daemon.store.rank != LEADER
+            if other.startswith("hall") and world.nodes[other].daemon.store.election_role != LEADER
         )
         world.kill(name)
         from hollowhall.sim.disk import SimDisk
@@ -163,7 +163,7 @@
         world.start(name)
         member = world.nodes[name].daemon.store
         await world.until(lambda: not member.blank)
-        assert member.floor is not None and member.term > member.floor > 0
+        assert member.minimum_term is not None and member.term > member.minimum_term > 0
 
     world.run(go())
 
@@ -177,7 +177,7 @@
         name = next(
             other
             for other in world.nodes
-            if other.startswith("hall") and world.nodes[other].daemon.store.rank != LEADER
+            if other.startswith("hall") and world.nodes[other].daemon.store.election_role != LEADER
         )
         member, machine, answers = world.nodes[name].daemon.store, world.cards[name]["machine"], []
         member.on_charter(request={"version": 99}, callback=answers.append, caller="mast")
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -6,7 +6,7 @@
 import aiohttp
 import pytest
 
-from hollowhall.almanac import Almanac
+from hollowhall.almanac import StoreMember
 from hollowhall.base.params import check
 from hollowhall.base.probe import probe
 from hollowhall.base.problems import Mismatch
@@ -30,7 +30,7 @@
         self.addr, self.ds = (
             store_address,
             [
-                Almanac(
+                StoreMember(
                     runtime=Runtime(folder=str(folder)),
                     settings=check(
                         settings
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -8,7 +8,7 @@
 import weak as W
 from platform_world import PlatformWorld, table
 
-from hollowhall.almanac import Almanac
+from hollowhall.almanac import StoreMember
 from hollowhall.base import constants
 from hollowhall.base.circuit import pack
 from hollowhall.check.judge import judge
@@ -46,7 +46,7 @@
         )
 
 
-class OldAlmanac(Old, Almanac):
+class OldAlmanac(Old, StoreMember):
     """A store member of release 0.1.0."""
 
 
@@ -156,7 +156,7 @@
         job.steps[task.step].spec = spec
 
 
-class OddOne(Almanac):
+class OddOne(StoreMember):
     """Store members of which `almanac-2` has a record that diverges."""
 
     abstract = False
--- a/tests/test_loaded_record.py
+++ b/tests/test_loaded_record.py
@@ -9,7 +9,7 @@
 
 import pytest
 from test_level_two import ROW, step
-from test_pictures import Untouched
+from test_pictures import NoCopyOnWrite
 
 from hollowhall.base import constants
 from hollowhall.record import Record
@@ -191,7 +191,7 @@
 def test_it_is_seen_where_a_job_changes_before_it_is_packed(small_slices):
     def differs(seed):
         try:
-            one, other = compare_after_load(seed=seed, make=Untouched)
+            one, other = compare_after_load(seed=seed, make=NoCopyOnWrite)
         except KeyError:  # the loaded parts are inconsistent
             return True
         return one != other
--- a/tests/test_lost.py
+++ b/tests/test_lost.py
@@ -17,7 +17,7 @@
 ROOM = [8, 1024, 0]
 
 
-class NeverWaits(Record):
+class RestartsLostAtOnce(Record):
     """Starts a lost worker's tasks elsewhere, even if the worker does not stop them."""
 
     def restarts(self, *, worker, attempt):
@@ -27,7 +27,7 @@
 @pytest.mark.parametrize("seed", [3, 6])
 def test_a_worker_that_runs_on_is_not_run_twice(seed):
     kinds = ("mate_run_on", "racked", "mate_run_on", "cancels")
-    runs = [play(build, seed, kinds, 10) for build in (W.with_record(NeverWaits), W.REAL)]
+    runs = [play(build, seed, kinds, 10) for build in (W.with_record(RestartsLostAtOnce), W.REAL)]
     assert "twice" in {build.rule for build in runs[0].bad}
     assert runs[1].bad == [] and any("HH414" in line for line in runs[1].log)
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -171,10 +171,11 @@
 async def pause_learner(world, names):
     """Suspends the joiner that has become a learner, so that the change stays in progress."""
     while (
-        not (leaders := world.who("almanac", "leader")) or not world.nodes[leaders[0]].daemon.conf["learner"]
+        not (leaders := world.who("almanac", "leader"))
+        or not world.nodes[leaders[0]].daemon.membership["learner"]
     ):
         await asyncio.sleep(0.001)
-    learner = world.nodes[leaders[0]].daemon.conf["learner"]
+    learner = world.nodes[leaders[0]].daemon.membership["learner"]
     name = next(joiner for joiner in names if world.cards[joiner]["addr"] == learner)
     world.pause(name)
     return name
--- a/tests/test_members_replaced.py
+++ b/tests/test_members_replaced.py
@@ -16,11 +16,11 @@
     lost for good, and after `wait` s a blank one at another address asks to join."""
     world.start_all()
     await world.until(all_members_up(world, 3))
-    await world.until(lambda: all(replica.store.conf["v"] >= 1 for replica in world.halls()))
+    await world.until(lambda: all(replica.store.membership["v"] >= 1 for replica in world.halls()))
     gone = next(
         name
         for name in world.nodes
-        if name.startswith("hall") and (world.nodes[name].daemon.store.rank == LEADER) == leads
+        if name.startswith("hall") and (world.nodes[name].daemon.store.election_role == LEADER) == leads
     )
     world.power_off(world.cards[gone]["machine"])
     await asyncio.sleep(wait)
@@ -37,7 +37,7 @@
         gone = next(
             name
             for name in world.nodes
-            if name.startswith("hall") and world.nodes[name].daemon.store.rank != LEADER
+            if name.startswith("hall") and world.nodes[name].daemon.store.election_role != LEADER
         )
         world.power_off(world.cards[gone]["machine"])
         world.add_controller(12)
@@ -66,7 +66,7 @@
         gone, wiped = [
             name
             for name in world.nodes
-            if name.startswith("hall") and world.nodes[name].daemon.store.rank != LEADER
+            if name.startswith("hall") and world.nodes[name].daemon.store.election_role != LEADER
         ][:2]
         world.power_off(world.cards[gone]["machine"])
         world.add_controller(12)
@@ -87,11 +87,11 @@
     async def scenario():
         world.start_all()
         await world.until(all_members_up(world, 5))
-        await world.until(lambda: all(replica.store.conf["v"] >= 1 for replica in world.halls()))
+        await world.until(lambda: all(replica.store.membership["v"] >= 1 for replica in world.halls()))
         down, wiped, third = [
             name
             for name in world.nodes
-            if name.startswith("hall") and world.nodes[name].daemon.store.rank != LEADER
+            if name.startswith("hall") and world.nodes[name].daemon.store.election_role != LEADER
         ][:3]
         world.power_off(world.cards[down]["machine"])
         world.kill(wiped)
@@ -116,7 +116,9 @@
         wiped = next(
             name
             for name in world.nodes
-            if name.startswith("hall") and name != "hall-9" and world.nodes[name].daemon.store.rank != LEADER
+            if name.startswith("hall")
+            and name != "hall-9"
+            and world.nodes[name].daemon.store.election_role != LEADER
         )
         world.kill(wiped)
         world.disks[world.cards[wiped]["machine"]] = SimDisk(rng=world.rng)
@@ -137,7 +139,7 @@
         await world.until(
             lambda: any(
                 "10.0.0.9:7000" in getattr(replica.store, "store_addresses", ())
-                and replica.store.rank == LEADER
+                and replica.store.election_role == LEADER
                 for replica in world.halls()
             )
         )
--- a/tests/test_members_weak.py
+++ b/tests/test_members_weak.py
@@ -5,16 +5,16 @@
 import weak as weaker
 from test_members import change, make_world, play, settled, start_joiner, wait_for_members
 
-from hollowhall.almanac import Almanac
+from hollowhall.almanac import StoreMember
 
 
-class MajorityOfOne(Almanac):
+class MajorityOfOne(StoreMember):
     """Needs no majority once the membership has changed."""
 
     abstract = False
 
     def majority(self):
-        return 1 if self.conf["v"] else super().majority()
+        return 1 if self.membership["v"] else super().majority()
 
 
 def test_without_majorities_of_the_present_members_things_are_lost():
@@ -67,10 +67,10 @@
                 leader.memberships.append(
                     (
                         leader.last(),
-                        leader.conf | {"voters": [voter for voter in leader.voters if voter != peer]},
+                        leader.membership | {"voters": [voter for voter in leader.voters if voter != peer]},
                     )
                 )
-                leader.use_conf()
+                leader.apply_membership()
 
             await world.nodes[leader.settings.id].run(out())
             await asyncio.sleep(1)
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -51,7 +51,7 @@
         (weak.EmptyDiskVotes, 3, 2, 1, "one_leader_a_term"),
         (weak.ForgetsOrders, 3, 1, 9, "taken_is_never_refused"),
         (weak.HurriedNewcomer, 5, 1, 5, "unheld_is_no_majority"),
-        (weak.OldMajority, 5, 1, 35, "unheld_is_no_majority"),
+        (weak.FoundersMajority, 5, 1, 35, "unheld_is_no_majority"),
         (weak.ReadsAlone, 3, 2, 32, "read_holds_confirmed"),
         (weak.SnapshotWithoutKeys, 3, 2, 20, "state_equal_at_equal_index"),
         (weak.SnapshotWithoutMembership, 5, 1, 27, "unheld_is_no_majority"),
--- a/tests/test_model_mends.py
+++ b/tests/test_model_mends.py
@@ -49,14 +49,14 @@
         run.order(A, number, number - 1)
         run.append(A, C, times=2)
     run.play("snapshot", A)
-    assert run.replica(A).base_i > 5
+    assert run.replica(A).base_index > 5
     run.play("wipe", C)
     run.play("restart", C)
     run.play("timeout", C)
     for peer in (A, B):
         run.exchange(C, peer, "status")
     run.append(A, B, times=6)
-    assert run.replica(C).floor is not None
+    assert run.replica(C).minimum_term is not None
     run.elect(A, B)
     run.append(A, B, times=3)
     replica = run.replica(C)
@@ -73,7 +73,7 @@
             run.play("lose", (A, C, operation, False, 10**6))  # no such message: only checks the rules
             run.cluster.append_tasks.pop((A, C), None)
             run.replica(A).next[C] = replica.last() + 1
-    assert not replica.blank and replica.snap_in is not None, "a snapshot must be under way"
+    assert not replica.blank and replica.received_snapshot is not None, "a snapshot must be under way"
     run.play("sync", C)  # the waiting write
     run.play("sync", C)  # the frame before the snapshot
     run.play("power", C, True, renamed)
@@ -95,10 +95,10 @@
     run.play("timeout", D)
     for peer in (A, B, C):
         run.exchange(D, peer, "status")
-    assert run.replica(D).floor == 0  # no member has ever known it
+    assert run.replica(D).minimum_term == 0  # no member has ever known it
     run.play("knock", D)
     run.play("steer", A)
-    assert run.replica(A).conf["learner"] == D
+    assert run.replica(A).membership["learner"] == D
     run.append(A, B, times=2)
     run.play("wipe", D)
     for _ in range(3):
@@ -108,12 +108,12 @@
     run.play("steer", A)
     run.append(A, B, times=2)
     run.append(A, C, times=2)
-    assert run.replica(A).conf["learner"] == "" and D in run.replica(A).conf["past"]
+    assert run.replica(A).membership["learner"] == "" and D in run.replica(A).membership["past"]
     run.play("restart", D)
     run.play("timeout", D)
     for peer in (A, B, C):
         run.exchange(D, peer, "status")
-    assert run.replica(D).floor != 0 and not run.replica(D).may_vote()
+    assert run.replica(D).minimum_term != 0 and not run.replica(D).may_vote()
     run.close()
 
 
@@ -123,10 +123,10 @@
     run.elect(A, B)
     run.append(A, B, times=2)
     run.append(A, C, times=2)
-    run.replica(A).put_conf(learner=D)
+    run.replica(A).propose_membership(learner=D)
     run.append(A, B, times=2)
     run.append(A, C, times=2)
-    run.replica(A).put_conf(learner="", out="", past=[D])
+    run.replica(A).propose_membership(learner="", out="", past=[D])
     run.append(A, B, times=2)
     run.append(A, C, times=2)
     run.play("timeout", D)
@@ -155,7 +155,7 @@
         if not run.in_flight(B, A, operation, reply=True):
             break
         run.reply(B, A, operation)
-    assert operation == "snap" and run.replica(B).base_i > 0
+    assert operation == "snap" and run.replica(B).base_index > 0
     answers = []
     late = {"t": run.replica(A).term, "l": A, "li": 1, "lt": 1, "es": [], "c": 1, "h": {}}
     run.replica(B).serve(op="append", request=late, caller=A, callback=answers.append)
@@ -177,7 +177,7 @@
     run.elect(A, B)
     run.append(A, B, times=2)
     run.cluster.loop.advance(constants.LEADER_CONTACT_MAX_AGE)
-    run.replica(A).put_conf(learner=D)  # appended at A only
+    run.replica(A).propose_membership(learner=D)  # appended at A only
     run.cluster.loop.advance(0.1)
     leader = run.replica(A)
     assert leader.quorum_age() < constants.ELECTION_TIMEOUT_MAX  # not yet time to step down
@@ -210,7 +210,7 @@
     assert kept[0].ok and lease not in run.replica(B).keys.holds, "A confirms, and B lacks the lease"
     run.play("power", A, False, False)
     run.elect(C, B)
-    ends = run.replica(C).hold_ends[lease]
+    ends = run.replica(C).lease_ends[lease]
     run.close()
     return now, ends
 
@@ -243,7 +243,7 @@
             callback=lambda result: None,
         )
         run.append(A, C, times=2)
-    assert len(leader.keeps()) == 30
+    assert len(leader.lease_ages()) == 30
     run.cluster.loop.advance(constants.UNKNOWN_KEEPALIVE_KEPT + 1)
-    assert leader.keeps() == {} and leader.kept == {}
+    assert leader.lease_ages() == {} and leader.lease_kept_at == {}
     run.close()
--- a/tests/test_nevers.py
+++ b/tests/test_nevers.py
@@ -33,22 +33,22 @@
 
 with_record = W.with_record
 NEVERS = [
-    ("second-job", with_record(W.NoNames, desk=W.ForgetfulDesk), ("kill_primary", "slow_net"), 1),
-    ("twice", W.REAL | {"desk": W.HastyDesk}, ("mate_cut",), 8),
-    ("too-early", with_record(W.AllAtOnce), ("burst",), 1),
+    ("second-job", with_record(W.IgnoresJobNames, desk=W.ResendsEveryJob), ("kill_primary", "slow_net"), 1),
+    ("twice", W.REAL | {"desk": W.EarlyExpiryDesk}, ("mate_cut",), 8),
+    ("too-early", with_record(W.IgnoresDependencies), ("burst",), 1),
     ("too-early", with_record(W.Early), ("timed",), 1),
     ("over-room", with_record(W.NoRoom), ("burst",), 1),
     ("wrong-worker", with_record(W.AnyRack), ("racked",), 1),
     ("crowded", with_record(W.NoSpread), ("burst",), 1),
-    ("over-failures", with_record(W.Stubborn), ("timed",), 1),
-    ("refused-runs", W.REAL | {"desk": W.SaysNoDoesIt}, ("burst",), 1),
-    ("cancelled-starts", with_record(W.DeafToCancel), ("cancels",), 1),
-    ("leaving-starts", with_record(W.NoLeaving), ("mate_leave",), 5),
-    ("forgotten", W.REAL | {"almanac": W.Unsynced}, ("power_all",), 1),
-    ("forgotten", W.REAL | {"almanac": W.Alone}, ("split_leader",), 5),
-    ("failed-without-cause", with_record(W.Fickle), ("mate_flop",), 1),
-    ("done-too-soon", with_record(W.FirstIsAll), ("burst",), 1),
-    ("charter", W.REAL | {"mast": W.OldCharter}, ("edit_storm",), 1),
+    ("over-failures", with_record(W.IgnoresMaxFailures), ("timed",), 1),
+    ("refused-runs", W.REAL | {"desk": W.RefusesButAccepts}, ("burst",), 1),
+    ("cancelled-starts", with_record(W.IgnoresCancels), ("cancels",), 1),
+    ("leaving-starts", with_record(W.IgnoresLeaving), ("mate_leave",), 5),
+    ("forgotten", W.REAL | {"almanac": W.AnswersUnsynced}, ("power_all",), 1),
+    ("forgotten", W.REAL | {"almanac": W.CommitsAlone}, ("split_leader",), 5),
+    ("failed-without-cause", with_record(W.JobFailedAtFirstFailure), ("mate_flop",), 1),
+    ("done-too-soon", with_record(W.JobDoneWithFirstTask), ("burst",), 1),
+    ("charter", W.REAL | {"mast": W.StaleConfigurationGateway}, ("edit_storm",), 1),
     ("charter", with_record(W.NoBase), ("edit_race",), 1),
     ("over-limit", with_record(W.NoLimit), ("edit_race", "burst"), 2),
 ]
@@ -141,4 +141,4 @@
 def test_a_deposed_primarys_turn_with_a_fresh_stamp():
     assert deposed(W.REAL) == (False, "OldEpoch", 6, set())
     # a running task is started again; whether its stop comes in time depends on the order of messages
-    assert deposed(with_record(parts.P.NoEpochs)) in ((True, "", 7, set()), (True, "", 7, {"twice"}))
+    assert deposed(with_record(parts.P.NoEpochFence)) in ((True, "", 7, set()), (True, "", 7, {"twice"}))
--- a/tests/test_pictures.py
+++ b/tests/test_pictures.py
@@ -7,7 +7,7 @@
 
 import weak as weaker
 
-from hollowhall.almanac import Almanac
+from hollowhall.almanac import StoreMember
 from hollowhall.base import constants
 from hollowhall.check.judge import judge
 from hollowhall.record import Record
@@ -16,14 +16,14 @@
 from hollowhall.standins.shapes import SHAPES, crew_of, step
 
 
-class Untouched(Record):
+class NoCopyOnWrite(Record):
     """Does not keep a job as it was before a change, so that snapshots mix states."""
 
     def touch(self, job):
         pass
 
 
-class UnslicedSnapshots(Almanac):
+class UnslicedSnapshots(StoreMember):
     """Takes snapshots at once, without slices."""
 
     async def take_snapshot(self):
@@ -102,7 +102,7 @@
     for seed in range(12):
         at, snapshot, now = digests_of_sliced_snapshot(Record, seed)
         assert at == snapshot != now
-    assert any(a != b for a, b, _ in (digests_of_sliced_snapshot(Untouched, s) for s in range(12)))
+    assert any(a != b for a, b, _ in (digests_of_sliced_snapshot(NoCopyOnWrite, s) for s in range(12)))
 
 
 def play_large_record(build, jobs=50):
--- a/tests/test_platform_herds.py
+++ b/tests/test_platform_herds.py
@@ -22,14 +22,14 @@
 from platform_standins import jobs
 from platform_world import PlatformWorld
 
-from hollowhall.almanac import Almanac
+from hollowhall.almanac import StoreMember
 from hollowhall.base import constants
 from hollowhall.base.daemon import StoreClientMixin
 from hollowhall.base.problems import Success
 from hollowhall.desk import Desk
 from hollowhall.mast import Reply
 
-CAMPAIGN = Almanac.campaign
+CAMPAIGN = StoreMember.campaign
 SOON = 3.0  # s; until a core that was killed whole, or its leader, serves again
 
 
@@ -192,7 +192,7 @@
     async def campaign(self, **kw):
         return await CAMPAIGN(self, **kw) if self.runtime.now() - self.born < 3.0 else None
 
-    monkeypatch.setattr(Almanac, "campaign", campaign)
+    monkeypatch.setattr(StoreMember, "campaign", campaign)
     w, _, _ = play(slow_machine("primary", times=100.0), cpu=True, seed=2, seconds=16.0)
     assert not again_as_before(w)
 
@@ -200,7 +200,7 @@
 def test_a_store_that_waits_for_all_its_members_is_seen(monkeypatch):
     """Under most seeds; few submissions meet it on some days, and losses may hide it."""
     usual_by_seed = {seed: usual(seed) for seed in (2, 6, 9)}
-    monkeypatch.setattr(Almanac, "most", lambda self: len(self.voters))
+    monkeypatch.setattr(StoreMember, "most", lambda self: len(self.voters))
 
     def seen(seed):
         w, _, _ = play(slow_machine("follower"), cpu=True, seed=seed)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -6,7 +6,7 @@
 import subprocess
 import sys
 
-from hollowhall.almanac.ring import HEAD, Ring
+from hollowhall.almanac.ring import FRAME_HEADER, LogSegments
 from hollowhall.base.seam import Disk
 from hollowhall.tools.fleet.fleet import free_ports
 
@@ -57,15 +57,15 @@
 
 def test_an_almanac_refuses_a_damaged_log_and_leaves_it_unchanged(tmp_path):
     async def write():
-        log = Ring(disk=Disk(folder=str(tmp_path / "data")))
+        log = LogSegments(disk=Disk(folder=str(tmp_path / "data")))
         log.load()
         for index in range(1, 4):
-            await log.put(hard={"t": 1, "v": "", "m": True}, es=[[index, 1, b"x" * 40]])
+            await log.put(hard={"t": 1, "v": "", "m": True}, entries=[[index, 1, b"x" * 40]])
 
     asyncio.run(write())
     segment = tmp_path / "data" / "ring-00"
     content = bytearray(segment.read_bytes())
-    content[HEAD.size + 8] ^= 1
+    content[FRAME_HEADER.size + 8] ^= 1
     segment.write_bytes(content)
     (address,) = [f"127.0.0.1:{port}" for port in free_ports(1)]
     process = subprocess.run(
--- a/tests/test_restore.py
+++ b/tests/test_restore.py
@@ -70,16 +70,16 @@
 
 @pytest.mark.parametrize("hard", [None, {"t": 3, "v": "", "m": False}])
 def test_a_disk_without_a_member_is_refused(hard):
-    from hollowhall.almanac.ring import Ring
+    from hollowhall.almanac.ring import LogSegments
     from hollowhall.base.params import DaemonSettings
 
     disk, params = SimDisk(rng=random.Random(1)), DaemonSettings(id="a", addr="10.0.0.1:7000", seeds=[])
 
     async def scenario():
         if hard:
-            ring = Ring(disk=disk, files=params.ring_files, size=params.ring_bytes)
+            ring = LogSegments(disk=disk, files=params.ring_files, size=params.ring_bytes)
             ring.load()
-            await ring.put(hard=hard, es=[])
+            await ring.put(hard=hard, entries=[])
         with pytest.raises(Raised) as caught:
             await restore(disk=disk, settings=params, write=True)
         return caught.value.failure
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from hollowhall.almanac.ring import HEAD, Ring
+from hollowhall.almanac.ring import FRAME_HEADER, LogSegments
 from hollowhall.base.problems import DiskDamage, Raised
 from hollowhall.sim.disk import SimDisk
 
@@ -19,12 +19,12 @@
 
 def open_log(disk, **options):
     """A log on this disk: (log, (hard state, snapshot, entries) read back)."""
-    log = Ring(disk=disk, files=options.get("files", 3), size=options.get("size", 4096))
+    log = LogSegments(disk=disk, files=options.get("files", 3), size=options.get("size", 4096))
     return log, log.load()
 
 
 def put(log, added, hard=HARD, cut=None):
-    asyncio.run(log.put(hard=hard, es=added, cut=cut))
+    asyncio.run(log.put(hard=hard, entries=added, cut=cut))
 
 
 def entries(first, end, term=1, size=20):
@@ -67,7 +67,7 @@
     file = disk.files["ring-00"]
 
     async def interrupted_put():
-        write = asyncio.ensure_future(log.put(hard=HARD, es=entries(4, 9, size=60)))
+        write = asyncio.ensure_future(log.put(hard=HARD, entries=entries(4, 9, size=60)))
         await asyncio.sleep(0)
         write.cancel()
 
@@ -84,7 +84,7 @@
     log, _ = open_log(disk)
     put(log, entries(1, 4))
     put(log, entries(4, 6))
-    disk.files["ring-00"].safe[HEAD.size + 9] ^= 1
+    disk.files["ring-00"].safe[FRAME_HEADER.size + 9] ^= 1
     with pytest.raises(Raised) as caught:
         open_log(disk)
     assert isinstance(caught.value.failure, DiskDamage)
@@ -96,7 +96,7 @@
     for index in range(1, 12):
         put(log, entries(index, index + 1, size=100))
     assert log.current >= 1
-    disk.files[f"ring-{log.current:02d}"].safe[HEAD.size + 5] ^= 1
+    disk.files[f"ring-{log.current:02d}"].safe[FRAME_HEADER.size + 5] ^= 1
     with pytest.raises(Raised) as caught:
         open_log(disk, files=4, size=1200)
     assert isinstance(caught.value.failure, DiskDamage)
@@ -108,7 +108,7 @@
     for index in range(1, 200):
         put(log, entries(index, index + 1, size=100))
         if log.free_files() < 2:
-            asyncio.run(log.snap(d={"i": index, "t": 1, "keys": {}, "record": {}}))
+            asyncio.run(log.snap(snapshot={"i": index, "t": 1, "keys": {}, "record": {}}))
         if index % 17 == 0:
             log, (hard, snap, read_back) = open_log(disk, size=2048)
             last = read_back[-1][0] if read_back else snap["i"]
@@ -129,7 +129,7 @@
     disk = make_disk()
     log, _ = open_log(disk)
     put(log, entries(1, 3))
-    asyncio.run(log.snap(d={"i": 2, "t": 1, "keys": {}, "record": {}}))
+    asyncio.run(log.snap(snapshot={"i": 2, "t": 1, "keys": {}, "record": {}}))
     data = bytearray(disk.wholes["snap"])
     data[-1] ^= 1
     disk.wholes["snap"] = bytes(data)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -7,21 +7,21 @@
 import weak as weaker
 from weak_parts import UnconfirmedReads
 
-from hollowhall.almanac import Almanac
+from hollowhall.almanac import StoreMember
 from hollowhall.sim import storm
 from hollowhall.sim.world import World
 from hollowhall.standins.shapes import SHAPES
 
 
-class CountsWhenBlank(Almanac):
+class CountsWhenBlank(StoreMember):
     """Counts and votes with an empty disk, as if nothing had ever been on it."""
 
-    async def unblank(self):
+    async def recover_blank(self):
         self.blank, self.hard_dirty = False, True
         self.become(role="follower", why="eager")
 
 
-def make_world(build=Almanac, seed=4):
+def make_world(build=StoreMember, seed=4):
     return World(seed=seed, shape=SHAPES["cymylau"], desks=1, masts=1, build=weaker.REAL | {"almanac": build})
 
 
@@ -93,13 +93,13 @@
 
 def test_a_blank_disk_does_not_vote_a_confirmed_put_away():
     """If a member with an empty disk votes, a leader without a confirmed put can be elected."""
-    weak, real = play_lost_disk(CountsWhenBlank), play_lost_disk(Almanac)
+    weak, real = play_lost_disk(CountsWhenBlank), play_lost_disk(StoreMember)
     assert weak["confirmed"] and weak["value"] is None
     assert real["confirmed"] and real["value"] == 7
     assert real["blank"] == []
 
 
-@pytest.mark.parametrize("build, past", [(UnconfirmedReads, True), (Almanac, False)])
+@pytest.mark.parametrize("build, past", [(UnconfirmedReads, True), (StoreMember, False)])
 def test_a_woken_leader_does_not_answer_reads_from_the_past(build, past):
     world, seen = make_world(build), {}
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -13,7 +13,7 @@
 import pytest
 import weak as W
 
-from hollowhall.almanac.ring import Ring
+from hollowhall.almanac.ring import LogSegments
 from hollowhall.base.circuit import unpack
 from hollowhall.check.judge import judge
 from hollowhall.record import Record
@@ -63,7 +63,7 @@
         data = zlib.decompress(base64.b64decode(data))
         file.safe[: len(data)] = data
     disk.wholes["snap"] = zlib.decompress(base64.b64decode(fixture["snap"]))
-    hard, snap, entries = Ring(disk=disk, files=fixture["n"], size=fixture["size"]).load()
+    hard, snap, entries = LogSegments(disk=disk, files=fixture["n"], size=fixture["size"]).load()
     record = Record()
     record.load(snap["record"])
     assert hard["t"] == fixture["term"] and hard["m"] and snap["i"] > 0
--- a/tests/weak.py
+++ b/tests/weak.py
@@ -3,17 +3,17 @@
 
 import asyncio
 
-from hollowhall.almanac import Almanac
+from hollowhall.almanac import StoreMember
 from hollowhall.base.problems import BadInput, Success
 from hollowhall.desk import Desk
 from hollowhall.mast import Mast
 from hollowhall.record import Record
 from hollowhall.record.kinds import READY, UP, WAITING
 
-REAL = {"almanac": Almanac, "desk": Desk, "mast": Mast}
+REAL = {"almanac": StoreMember, "desk": Desk, "mast": Mast}
 
 
-def with_record(record_class, desk=Desk, mast=Mast, almanac=Almanac):
+def with_record(record_class, desk=Desk, mast=Mast, almanac=StoreMember):
     """Classes of the daemons whose record is a `record_class`."""
     return {
         "almanac": type("A", (almanac,), {"make_record": record_class, "abstract": False}),
@@ -22,7 +22,7 @@
     }
 
 
-class NoNames(Record):
+class IgnoresJobNames(Record):
     """Takes every submission for a new job."""
 
     def ev_job(self, stamp, name, spec, digest):
@@ -39,7 +39,7 @@
         return super().ev_job(stamp, name, spec, digest)
 
 
-class ForgetfulDesk(Desk):
+class ResendsEveryJob(Desk):
     """Passes every resent submission to the record, also of jobs that it has."""
 
     def on_job(self, *, request, callback, caller):
@@ -50,7 +50,7 @@
             self.record.jobs = old
 
 
-class HastyDesk(Desk):
+class EarlyExpiryDesk(Desk):
     """Takes a worker's attempts for stopped as soon as the worker is silent."""
 
     def on_beat(self, *, request, callback, caller):
@@ -59,7 +59,7 @@
             self.sessions[request["id"]].until = self.runtime.now() + 1.0
 
 
-class AllAtOnce(Record):
+class IgnoresDependencies(Record):
     """Makes all steps of a job ready at once."""
 
     def open_steps(self, *, job, stamp):
@@ -102,7 +102,7 @@
         return super().ev_job(stamp, name, spec, digest)
 
 
-class Stubborn(Record):
+class IgnoresMaxFailures(Record):
     """Retries a task beyond maxFailures."""
 
     def task_bad(self, *, job, task, worker, stamp, why):
@@ -112,7 +112,7 @@
         step["maxFailures"] = max_failures
 
 
-class SaysNoDoesIt(Desk):
+class RefusesButAccepts(Desk):
     """Refuses every fifth submission, but accepts it into the record."""
 
     submissions = 0
@@ -126,14 +126,14 @@
         super().on_job(request=request, callback=callback, caller=caller)
 
 
-class DeafToCancel(Record):
+class IgnoresCancels(Record):
     """Confirms cancellations without cancelling."""
 
     def ev_cancel(self, stamp, name):
         return ["ok", "open"] if name in self.jobs else ["none", ""]
 
 
-class NoLeaving(Record):
+class IgnoresLeaving(Record):
     """Ignores that a worker is about to leave."""
 
     def ev_leave(self, stamp, id, boot):
@@ -141,29 +141,29 @@
         return ["ok", UP] if worker is not None else ["none", ""]
 
 
-class Alone(Almanac):
+class CommitsAlone(StoreMember):
     """Commits an entry as soon as it is on the leader's own disk."""
 
     def advance(self):
-        if self.rank == "leader" and self.synced > self.commit:
+        if self.election_role == "leader" and self.synced > self.commit:
             self.commit = self.synced
             self.apply()
         super().advance()
 
 
-class Unsynced(Almanac):
+class AnswersUnsynced(StoreMember):
     """Answers before the sync, and counts itself as synced."""
 
     def after_sync(self, callback):
         callback()
-        self.disk_ev.set()
+        self.disk_event.set()
 
     def advance(self):
         self.synced = self.last()
         super().advance()
 
 
-class FirstIsAll(Record):
+class JobDoneWithFirstTask(Record):
     """Shows a job as done when its first task is done."""
 
     def task_done(self, *, job, task, stamp):
@@ -172,7 +172,7 @@
             self.job_to(job=job, state="done", stamp=stamp)
 
 
-class Fickle(Record):
+class JobFailedAtFirstFailure(Record):
     """Shows a job as failed at its first failure."""
 
     def task_bad(self, *, job, task, worker, stamp, why):
@@ -181,7 +181,7 @@
             self.wind_up(job=job, goal="failed", stamp=stamp, why="gave up")
 
 
-class OldCharter(Mast):
+class StaleConfigurationGateway(Mast):
     """Answers reads of the configuration from a copy that may be old."""
 
     def charter_get(self, call, s):
--- a/tests/weak_parts.py
+++ b/tests/weak_parts.py
@@ -2,14 +2,14 @@
 
 import asyncio
 
-from hollowhall.almanac import Almanac
+from hollowhall.almanac import StoreMember
 from hollowhall.base import constants
 from hollowhall.base.problems import Leaving, NotLeader, Success
 from hollowhall.desk import Desk
 from hollowhall.record import Record
 
 
-class NoEpochs(Record):
+class NoEpochFence(Record):
     """Accepts a batch of any primary, also of a previous one."""
 
     def turn(self, fields):
@@ -28,7 +28,7 @@
         return outcome
 
 
-class NoFences(NoEpochs, NoStampFence):
+class NoFences(NoEpochFence, NoStampFence):
     """Checks neither a batch's epochs nor its timestamp."""
 
 
@@ -39,19 +39,19 @@
         return self.part == "primary"
 
 
-class NoPrevote(Almanac):
+class NoPrevote(StoreMember):
     """Campaigns without a pre-vote."""
 
     async def campaign(self, *, forced=False):
         await super().campaign(forced=True)
 
 
-class BlankVotes(Almanac):
+class BlankVotes(StoreMember):
     """Counts and votes with an empty disk from its start."""
 
     def restore(self):
         super().restore()
-        self.blank, self.rank = False, "follower"
+        self.blank, self.election_role = False, "follower"
 
 
 class NoStartExpiry(Desk):
@@ -80,19 +80,19 @@
             session.until = self.runtime.now() + 0.5
 
 
-class UnconfirmedReads(Almanac):
+class UnconfirmedReads(StoreMember):
     """A leader answers reads without a confirmation by a majority."""
 
     def read(self, *, callback):
-        callback(None if self.rank == "leader" else NotLeader(hint=self.leader))
+        callback(None if self.election_role == "leader" else NotLeader(hint=self.leader))
 
 
-class ForgetsKeepAlives(Almanac):
+class ForgetsKeepAlives(StoreMember):
     """A new leader of the store ignores earlier keep-alives and expires every lease."""
 
     def start_leading(self):
         super().start_leading()
-        self.hold_ends = {lease: self.led_since for lease in self.hold_ends}
+        self.lease_ends = {lease: self.led_since for lease in self.lease_ends}
 
 
 class NoBoots(Record):
@@ -192,28 +192,28 @@
             self.names[name] = [stamp, job_ended.digest, job_ended.state]
 
 
-class SlowCampaign(Almanac):
+class SlowCampaign(StoreMember):
     """Waits 30 s before it campaigns, except at the first start."""
 
     async def watchdog(self):
         while True:
             await asyncio.sleep(constants.LEADER_CHECK_PERIOD)
             if self.blank:
-                await self.unblank()
-            elif self.rank != "leader" and self.runtime.now() - self.election_timer_start > (
+                await self.recover_blank()
+            elif self.election_role != "leader" and self.runtime.now() - self.election_timer_start > (
                 1.0 if self.term == 0 else 30.0
             ):
                 await self.campaign()
 
 
-class NeverWaits(Record):
+class RestartsLostAtOnce(Record):
     """Restarts a lost worker's tasks at once, even if the worker said that it keeps running them."""
 
     def restarts(self, *, worker, attempt):
         return True
 
 
-class RecordsStamps(Almanac):
+class RecordsStamps(StoreMember):
     """Records every timestamp that is issued in the history."""
 
     abstract = False
--- a/tests/weak_replicas.py
+++ b/tests/weak_replicas.py
@@ -11,13 +11,13 @@
     """A leader answers reads without a confirmation by a majority."""
 
     def read(self, *, callback):
-        if self.rank == LEADER:
+        if self.election_role == LEADER:
             callback(None)
         else:
             super().read(callback=callback)
 
 
-class OldMajority(ModelReplica):
+class FoundersMajority(ModelReplica):
     """The majority is that of the founders, however many members there are now."""
 
     def majority(self):
@@ -27,16 +27,16 @@
 class HurriedNewcomer(ModelReplica):
     """A new member becomes a voter, and counts, before it holds the committed entries."""
 
-    def steer_once(self):
-        learner = self.conf["learner"]
+    def advance_membership(self):
+        learner = self.membership["learner"]
         if learner:
             self.match[learner] = self.last()
-            self.put_conf(voters=sorted([*self.conf["voters"], learner]), learner="")
+            self.propose_membership(voters=sorted([*self.membership["voters"], learner]), learner="")
         else:
-            super().steer_once()
+            super().advance_membership()
 
     def advance(self):
-        for peer in self.voter_peers if self.rank == LEADER else ():
+        for peer in self.voter_peers if self.election_role == LEADER else ():
             if peer not in self.settings.seeds:
                 self.match[peer] = self.last()
         super().advance()
@@ -95,7 +95,7 @@
 
     def restore(self):
         super().restore()
-        self.blank, self.rank = False, "follower"
+        self.blank, self.election_role = False, "follower"
 
 
 class VotesBeforeSync(ModelReplica):
@@ -133,24 +133,24 @@
 class ForgetsLearners(ModelReplica):
     """A learner that was dropped is not listed among the past members."""
 
-    def put_conf(self, *, callback=lambda o: None, **changes):
+    def propose_membership(self, *, callback=lambda o: None, **changes):
         if changes.get("learner") == "" and "past" in changes and "voters" not in changes:
             del changes["past"]
-        super().put_conf(callback=callback, **changes)
+        super().propose_membership(callback=callback, **changes)
 
 
 class TellsKnownLeasesOnly(ModelReplica):
     """A voter reports keep-alives only of leases whose grant it has applied."""
 
-    def keeps(self):
-        return {lease: age for lease, age in super().keeps().items() if lease in self.keys.holds}
+    def lease_ages(self):
+        return {lease: age for lease, age in super().lease_ages().items() if lease in self.keys.leases}
 
 
 class AnswersBelowSnapshots(ModelReplica):
     """Entries covered by a snapshot are acknowledged before the snapshot is on disk."""
 
     def on_append(self, *, request, callback, caller):
-        if request["li"] + len(request["es"]) < self.base_i:
+        if request["li"] + len(request["es"]) < self.base_index:
             callback(Success(value=self.ack(yes=True)))
         else:
             super().on_append(request=request, callback=callback, caller=caller)
@@ -162,6 +162,6 @@
     def out_of_touch(self):
         return (
             self.quorum_age() > constants.LEADER_CONTACT_MAX_AGE
-            if self.rank == LEADER
+            if self.election_role == LEADER
             else super().out_of_touch()
         )
