--- a/hollowhall/almanac/copy.py
+++ b/hollowhall/almanac/copy.py
@@ -229,7 +229,7 @@
         """Applies the committed entries and answers their proposals."""
         while self.applied < self.commit:
             entry = self.log_entries[self.applied - self.base_index]
-            outcome = self.enact(index=entry[0], command=unpack(entry[2]))
+            outcome = self.apply_entry(index=entry[0], command=unpack(entry[2]))
             self.applied = entry[0]
             if entry[0] % constants.CHECKSUM_INTERVAL_ENTRIES == 0 and self.record.level:
                 self.note_checksum(entry[0])
--- a/hollowhall/almanac/pictures.py
+++ b/hollowhall/almanac/pictures.py
@@ -38,7 +38,7 @@
 
     def whole_snapshot(self):
         """A snapshot taken at once, without slices."""
-        self.runtime.spend(s=self.record.tasks_n() * constants.PACK_TASK_CPU_TIME)
+        self.runtime.spend(s=self.record.task_count() * constants.PACK_TASK_CPU_TIME)
         return self.snapshot_header() | {"record": self.record.pack()}
 
     async def take_snapshot(self):
@@ -79,7 +79,7 @@
     def load_snapshot(self, snapshot):
         self.keys.load(snapshot["keys"])
         self.record.load(snapshot["record"])
-        self.runtime.spend(s=self.record.tasks_n() * constants.LOAD_TASK_CPU_TIME)
+        self.runtime.spend(s=self.record.task_count() * constants.LOAD_TASK_CPU_TIME)
 
     # --- sending, in chunks
 
--- a/hollowhall/almanac/serve.py
+++ b/hollowhall/almanac/serve.py
@@ -23,7 +23,7 @@
             {},
         )
 
-    def enact(self, *, index, command):
+    def apply_entry(self, *, index, command):
         """Applies one committed entry and returns its result; deterministic, the same on every replica."""
         op = command[0]
         if op == "txn":
@@ -44,7 +44,7 @@
         if op in ("turn", "edit", "level"):
             for listener in self.entry_listeners:
                 listener(op, command[1])
-            outcome = self.record.enact(op=op, d=command[1])
+            outcome = self.record.apply_entry(op=op, d=command[1])
             if op == "level":
                 self.say(log_events.LEVEL_RAISED, level=self.record.level)
             return outcome
--- a/hollowhall/desk/beats.py
+++ b/hollowhall/desk/beats.py
@@ -203,7 +203,7 @@
 
             self.queue_event(event=["back", worker.id, worker.boot], callback=then)
         for run, how, why, *saved in request["ended"]:
-            if run in self.record.legs:
+            if run in self.record.attempts:
                 session.report_end(
                     run=run, end=ReportedEnd(how=how, why=why, saved=saved[0] if saved else None)
                 )
@@ -227,7 +227,7 @@
         """The callback for a reported end whose batch is over; queues an end again that was not recorded."""
 
         def then(result, stamp):
-            if run in self.record.legs:
+            if run in self.record.attempts:
                 session.ends[run].queued = False
                 if self.live():
                     self.queue_ends(worker_id=worker_id, session=session)
@@ -278,7 +278,7 @@
             return Success(
                 value=self.named_answer(worker=worker, session=session, starts=starts, stops=stops)
             )
-        cards = [self.start_card(self.record.legs[order]) for order in starts]
+        cards = [self.start_card(self.record.attempts[order]) for order in starts]
         return Success(
             value={
                 "starts": cards,
--- a/hollowhall/desk/care.py
+++ b/hollowhall/desk/care.py
@@ -22,7 +22,9 @@
         previous one did."""
         for event in events:
             attempt = (
-                self.record.legs.get(event[1]) if event[0] == "end" and event[2] in ("ok", "bad") else None
+                self.record.attempts.get(event[1])
+                if event[0] == "end" and event[2] in ("ok", "bad")
+                else None
             )
             if attempt is not None and not self.record.jobs[attempt.job].steps[attempt.step].spec.get(
                 "forever"
@@ -155,7 +157,7 @@
             worker_id for worker_id in self.recent_failures if worker_id not in self.record.workers
         ]:
             del self.recent_failures[worker_id]
-        for attempt in self.record.legs.values():
+        for attempt in self.record.attempts.values():
             limit_ms = self.record.jobs[attempt.job].steps[attempt.step].spec["runMs"]
             if limit_ms and not attempt.stop and ms > (attempt.run >> constants.LOGICAL_BITS) + limit_ms:
                 self.queue_event(event=["stop", attempt.run, "limit"])
--- a/hollowhall/desk/gather.py
+++ b/hollowhall/desk/gather.py
@@ -5,7 +5,7 @@
 free."""
 
 from ..base import constants
-from ..record.kinds import UP, Leg
+from ..record.kinds import UP, Attempt
 from .fit import has_room, in_use
 
 
@@ -164,7 +164,7 @@
         for worker in sorted(workers, key=lambda worker: (-places.get(worker.id, 0), worker.id)):
             chosen += [worker] * min(places.get(worker.id, 0), step.spec["tasks"] - len(chosen))
         for number, worker in enumerate(chosen):
-            member = Leg(
+            member = Attempt(
                 run=-len(self.started) - 1,
                 task=f"{step_key[0]}/{step_key[1]}/{number}",
                 job=step_key[0],
--- a/hollowhall/desk/giving_back.py
+++ b/hollowhall/desk/giving_back.py
@@ -149,7 +149,7 @@
         return (
             [
                 member
-                for member in self.record.legs_of(self.record.jobs[attempt.job])
+                for member in self.record.attempts_of(self.record.jobs[attempt.job])
                 if member.gang == attempt.gang and not member.stop
             ]
             if attempt.gang
--- a/hollowhall/desk/headroom.py
+++ b/hollowhall/desk/headroom.py
@@ -21,7 +21,7 @@
         if ms - self.used_at < constants.USAGE_SAMPLE_PERIOD_MS:
             return
         self.used_at = ms
-        for lane, used in self.record.lane_used.items():
+        for lane, used in self.record.used_by_queue.items():
             seen = self.used_lately.setdefault(lane, deque(maxlen=constants.USAGE_SAMPLES_KEPT))
             seen.append(tuple(used))
 
--- a/hollowhall/desk/health.py
+++ b/hollowhall/desk/health.py
@@ -74,8 +74,8 @@
         for event in events:
             if event[0] == "flaky" and event[1] in self.record.workers:
                 self.note_probation(worker_id=event[1], until=event[2], ms=ms)
-            elif event[0] == "end" and event[2] in ("ok", "bad") and event[1] in self.record.legs:
-                attempt = self.record.legs[event[1]]
+            elif event[0] == "end" and event[2] in ("ok", "bad") and event[1] in self.record.attempts:
+                attempt = self.record.attempts[event[1]]
                 # attempts of `forever` steps may fail at any time
                 if not self.record.jobs[attempt.job].steps[attempt.step].spec.get("forever"):
                     self.note_end(attempt=attempt, bad=event[2] == "bad", ms=ms)
--- a/hollowhall/desk/leaving.py
+++ b/hollowhall/desk/leaving.py
@@ -31,7 +31,7 @@
                     continue
                 if spec.get("saves") and left_ms > constants.DEPARTURE_STOP_MS:
                     continue  # it may go on for now: its last checkpoint will be handed over
-                for member in self.record.legs_of(job) if spec.get("gang") else [attempt]:
+                for member in self.record.attempts_of(job) if spec.get("gang") else [attempt]:
                     if member.step == attempt.step and not member.stop:
                         self.queue_event(event=["stop", member.run, "leave"])
 
--- a/hollowhall/desk/outcomes.py
+++ b/hollowhall/desk/outcomes.py
@@ -16,7 +16,7 @@
     Unauthorized,
     Unknown,
 )
-from ..record.charter import newest
+from ..record.charter import required_level
 from ..record.jobs import weight_of
 from ..record.tenants import public_configuration
 from .views import ViewsMixin
@@ -82,7 +82,7 @@
                 else OtherBody(name=name)
             )
             return
-        if newest(request["spec"]) > self.record.level:
+        if required_level(request["spec"]) > self.record.level:
             callback(NotSynced(tries=0))  # the fleet's format level does not cover this specification yet
             return
         size = len(pack(request["spec"]))
--- a/hollowhall/desk/pace.py
+++ b/hollowhall/desk/pace.py
@@ -26,7 +26,7 @@
         if not self.policy.learned_durations:
             return
         for event in events:
-            attempt = self.record.legs.get(event[1]) if event[0] == "end" and event[2] == "ok" else None
+            attempt = self.record.attempts.get(event[1]) if event[0] == "end" and event[2] == "ok" else None
             if attempt is not None:
                 took_ms = max(1.0, (ms - (attempt.run >> constants.LOGICAL_BITS)) / self.stretch(attempt))
                 previous_ms = self.lane_ms.get(attempt.lane, took_ms)
@@ -138,7 +138,7 @@
             return
         moved = 0
         self.rescued = {
-            run: rescued_ms for run, rescued_ms in self.rescued.items() if run in self.record.legs
+            run: rescued_ms for run, rescued_ms in self.rescued.items() if run in self.record.attempts
         }
         for attempt, rate, percent, stalled, ratio in sorted(progress, key=lambda entry: -entry[4]):
             if (
@@ -175,7 +175,7 @@
                 and self.copy(attempt=attempt, step=job.steps[attempt.step], workers=candidates, ms=ms)
             ):
                 continue
-            for member in self.record.legs_of(job) if spec.get("gang") else [attempt]:
+            for member in self.record.attempts_of(job) if spec.get("gang") else [attempt]:
                 if member.step == attempt.step and not member.stop:
                     self.queue_event(event=["stop", member.run, "slow"])
 
--- a/hollowhall/desk/place.py
+++ b/hollowhall/desk/place.py
@@ -8,7 +8,7 @@
 
 from ..base import constants
 from ..record.jobs import shape_of
-from ..record.kinds import Leg
+from ..record.kinds import Attempt
 from .backfill import BackfillMixin
 from .fit import FitMixin, total_room
 from .gather import GatherMixin
@@ -66,7 +66,7 @@
         self.usual_ms = usual or {}  # queue: how long its tasks take in ms, as observed
         self.rec, self.now, self.most = rec, now, most
         self.out, self.started, self.reasons, self.due = [], [], {}, None
-        self.fleet_room, self.lane_use = total_room(rec), rec.lane_used
+        self.fleet_room, self.lane_use = total_room(rec), rec.used_by_queue
         self.kept = {} if kept is None else kept  # worker id: (job, step) it is held back for
         self.kept_until = {} if kept_until is None else kept_until  # (job, step): ms when it will have room
         # estimated ms that an attempt still needs
@@ -123,7 +123,7 @@
                         del heaps[lane]
         finally:
             for attempt in reversed(self.started):
-                self.rec.take_room(attempt=attempt, sign=-1)
+                self.rec.count_attempt(attempt=attempt, sign=-1)
         return self.out
 
     def try_waiting(self, top):
@@ -135,14 +135,14 @@
 
     def count_start(self, attempt):
         """Counts a start of this round in the record, as if it were granted already."""
-        self.rec.take_room(attempt=attempt, sign=1)
+        self.rec.count_attempt(attempt=attempt, sign=1)
         self.drains.pop(attempt.worker, None)
         self.started.append(attempt)
         self.note_start_of_tenant(job=attempt.job)
 
     def full(self, lane, row):
         """Whether a queue runs as many tasks as its limit allows."""
-        if row["limit"] and self.rec.lane_run.get(lane, 0) >= row["limit"]:
+        if row["limit"] and self.rec.running_by_queue.get(lane, 0) >= row["limit"]:
             self.limited.add(lane)
             return True
         return False
@@ -181,7 +181,7 @@
             del self.kept[held_id]
         room = self.rec.jobs[job].steps[step].spec["room"]
         self.note_taken(worker=worker, room=room)
-        attempt = Leg(
+        attempt = Attempt(
             run=-len(self.started) - 1,
             task=task.id,
             job=job,
--- a/hollowhall/desk/placing.py
+++ b/hollowhall/desk/placing.py
@@ -42,10 +42,10 @@
         """The start and stop events of one round. ends: runs whose ends precede these events in the same
         batch, so that their room counts as free."""
         ending = [
-            attempt for run in dict.fromkeys(ends) if (attempt := self.record.legs.get(run)) is not None
+            attempt for run in dict.fromkeys(ends) if (attempt := self.record.attempts.get(run)) is not None
         ]
         for attempt in ending:
-            self.record.take_room(attempt=attempt, sign=-1)
+            self.record.count_attempt(attempt=attempt, sign=-1)
         round_time = RoundTime(runtime=self.runtime, most=constants.PLACEMENT_ROUND_MAX_S)
         placement_round = Round(
             rec=self.record,
@@ -82,7 +82,7 @@
             events += self.give_back(placement_round=placement_round, ms=placement_round.now)
         finally:
             for attempt in ending:
-                self.record.take_room(attempt=attempt, sign=1)
+                self.record.count_attempt(attempt=attempt, sign=1)
         self.due_at, self.last_round, self.last_round_s = (
             placement_round.due,
             placement_round,
--- a/hollowhall/desk/record_tail.py
+++ b/hollowhall/desk/record_tail.py
@@ -32,7 +32,7 @@
                         )
                     if entry[0] == "turn":
                         self.note_batch(entry[1])
-                    self.record.enact(op=entry[0], d=entry[1])
+                    self.record.apply_entry(op=entry[0], d=entry[1])
                     self.applied = index
             self.applied = max(self.applied, answer["to"])
         self.news()
@@ -52,7 +52,7 @@
         """Replaces the record by a snapshot at `index`, if that is newer."""
         if index > self.applied:
             self.record.load(snapshot)
-            self.runtime.spend(s=self.record.tasks_n() * constants.LOAD_TASK_CPU_TIME)
+            self.runtime.spend(s=self.record.task_count() * constants.LOAD_TASK_CPU_TIME)
             self.applied = self.snapshot_index = index
             self.checksums = {}
 
--- a/hollowhall/desk/reports.py
+++ b/hollowhall/desk/reports.py
@@ -72,7 +72,7 @@
     def acknowledged_up_to(self, session):
         """The highest number up to which all reported ends are recorded or void."""
         for number, run in session.listed_ends:
-            if run in self.record.legs:
+            if run in self.record.attempts:
                 break
             session.acknowledged = max(session.acknowledged, number)
         return session.acknowledged
@@ -98,7 +98,7 @@
 
     def named_answer(self, *, worker, session, starts, stops):
         """The answer to a worker that names attempts; notes the starts that it holds."""
-        attempts, now = self.record.legs, self.runtime.now()
+        attempts, now = self.record.attempts, self.runtime.now()
         for run in starts:
             session.starts_sent[run] = (session.seq, now)
         for run in [run for run in session.starts_sent if run not in attempts]:
--- a/hollowhall/desk/reserved_plan.py
+++ b/hollowhall/desk/reserved_plan.py
@@ -54,7 +54,7 @@
     def refresh(self, *, ms, slow=()):
         """Updates the plan if the reservations or the fleet changed, and every RESERVATION_PLAN_PERIOD_MS."""
         rec = self.rec
-        state = (rec.reserved_n, rec.fleet, *rec.evacuated)
+        state = (rec.reservation_changes, rec.fleet, *rec.evacuated)
         if state != self.seen_state or ms >= self.next_check_ms:
             self.reservations = rec.reserved(now=ms)
             if state != self.seen_state or self.needs_remap(ms=ms):
@@ -70,14 +70,14 @@
                 if reservation.begin <= ms
                 for lane in reservation.lanes
             }
-        counts = [rec.lane_run.get(lane, 0) for lane in sorted(self.open_lanes)]
+        counts = [rec.running_by_queue.get(lane, 0) for lane in sorted(self.open_lanes)]
         if counts != self.seen_counts:
             self.seen_counts = counts
             self.count_unclaimed(ms=ms)
 
     def is_usable(self, worker, *, ms):
         """Whether a worker can serve a reservation at `ms`."""
-        return worker is not None and self.rec.well(worker) and ms >= worker.flaky
+        return worker is not None and self.rec.is_available(worker) and ms >= worker.flaky
 
     def needs_remap(self, *, ms):
         """Whether a reservation is over, is near its window, or is mapped to a worker that is not healthy;
@@ -117,7 +117,7 @@
         )
         assigned = {
             reservation.id: fill(
-                r=reservation,
+                reservation=reservation,
                 workers=[
                     worker for worker in eligible[reservation.id] if worker.id in previous[reservation.id]
                 ],
@@ -139,7 +139,9 @@
         if any(self.total(assigned[reservation.id]) < reservation.count for reservation in self.reservations):
             taken_anew = {}  # the same way as the record confirmed them
             anew = {
-                reservation.id: fill(r=reservation, workers=eligible[reservation.id], taken=taken_anew)
+                reservation.id: fill(
+                    reservation=reservation, workers=eligible[reservation.id], taken=taken_anew
+                )
                 for reservation in self.reservations
             }
             assigned = max(
@@ -197,7 +199,7 @@
             begin=reservation.begin, until=reservation.until, room=reservation.room, count=missing
         )
         workers = sorted(workers, key=rank) if reservation.id in self.remapped else workers
-        for worker_id, count in fill(r=part, workers=workers, taken=taken).items():
+        for worker_id, count in fill(reservation=part, workers=workers, taken=taken).items():
             assigned[worker_id] = assigned.get(worker_id, 0) + count
 
     def spec_of(self, attempt):
@@ -208,7 +210,7 @@
         use there; within a window, in total not more than the count less all that they use."""
         rec, owner_lanes = self.rec, {lane for reservation in self.reservations for lane in reservation.lanes}
         use_by_worker = {}  # worker id: {queue: room that its attempts use and that is not counted yet}
-        for attempt in rec.legs.values():
+        for attempt in rec.attempts.values():
             if attempt.lane in owner_lanes and attempt.run in rec.workers[attempt.worker].runs:
                 used = use_by_worker.setdefault(attempt.worker, {}).setdefault(attempt.lane, [0, 0, 0])
                 used[:] = [used[i] + attempt.room[i] for i in range(3)]
@@ -253,7 +255,7 @@
         rec, count, rows = self.rec, 0, self.rec.charter["rows"]
         for lane in reservation.lanes:
             row = rows.get(lane)
-            if row is None or row["limit"] and rec.lane_run.get(lane, 0) >= row["limit"]:
+            if row is None or row["limit"] and rec.running_by_queue.get(lane, 0) >= row["limit"]:
                 continue
             for (shape, _), line in rec.lines.get(lane, {}).items():
                 if (
--- a/hollowhall/desk/trace.py
+++ b/hollowhall/desk/trace.py
@@ -74,16 +74,16 @@
                 self.note_start(name=event[1].rsplit("/", 2)[0], ms=ms)
             elif event[0] == "gang":
                 self.note_start(name=event[1], ms=ms, count=len(event[3]))
-            elif event[0] == "stop" and event[1] in self.record.legs:
-                trace = self.trace_of(self.record.legs[event[1]].job, ms=ms)
+            elif event[0] == "stop" and event[1] in self.record.attempts:
+                trace = self.trace_of(self.record.attempts[event[1]].job, ms=ms)
                 if trace is not None:
                     add_up(trace.stops, more={event[2]: 1})
             elif event[0] == "cancel":
                 self.maybe_ended.add(event[1])
-            elif event[0] == "end" and event[1] in self.record.legs:
+            elif event[0] == "end" and event[1] in self.record.attempts:
                 if event[3] == NEVER_BEGAN:
                     add_up(self.concluded, more={"never_began": 1})
-                self.note_attempt(attempt=self.record.legs[event[1]], how=event[2], ms=ms)
+                self.note_attempt(attempt=self.record.attempts[event[1]], how=event[2], ms=ms)
             elif event[0] == "lost" and event[1] in self.record.workers:
                 add_up(self.concluded, more={"worker_lost": len(self.record.workers[event[1]].runs)})
                 for attempt in self.record.workers[event[1]].runs.values():
--- a/hollowhall/desk/views.py
+++ b/hollowhall/desk/views.py
@@ -32,7 +32,7 @@
         return view
 
     def task_view(self, task):
-        attempt = self.record.legs.get(task.run) if task.state == RUNNING else None
+        attempt = self.record.attempts.get(task.run) if task.state == RUNNING else None
         worker = self.record.workers.get(attempt.worker) if attempt else None
         lost = {"lost": True} if worker is not None and worker.state == LOST else {}
         return lost | {
--- a/hollowhall/mast/operators.py
+++ b/hollowhall/mast/operators.py
@@ -8,7 +8,7 @@
 from ..base import constants
 from ..base.params import address, flat
 from ..base.problems import BadInput, Broken, Raised, Success
-from ..record.charter import rows_checked
+from ..record.charter import check_rows_in_slices
 from ..record.copying import jobs_of
 from ..record.tenant_bodies import check_tenants
 
@@ -70,7 +70,7 @@
         """Validates a configuration change and sends it to the store. A large table is validated in
         slices with pauses as long as each slice, so that other requests are handled between them.
         whole: the rows replace the whole table, instead of single rows."""
-        check, rows = rows_checked(data.get("rows", {})), None
+        check, rows = check_rows_in_slices(data.get("rows", {})), None
         while rows is None:
             started_at = self.runtime.now()
             try:
--- a/hollowhall/mast/reservations.py
+++ b/hollowhall/mast/reservations.py
@@ -2,7 +2,7 @@
 one, and GET of all. Validated here, then forwarded to the primary; see docs/http.md."""
 
 from ..record.charter import check_name
-from ..record.reservation_bodies import check_reservation, check_shorter
+from ..record.reservation_bodies import check_reduction, check_reservation
 
 
 class ReservationsMixin:
@@ -22,7 +22,7 @@
         self.forward(op="reservation", request={"name": name}, slot=s, convert=lambda result: result)
 
     def reservation_patch(self, call, s, name):
-        change = check_shorter(self.body(call))
+        change = check_reduction(self.body(call))
         self.forward(
             op="shorten",
             slot=s,
--- a/hollowhall/record/__init__.py
+++ b/hollowhall/record/__init__.py
@@ -17,7 +17,7 @@
 from .copying import CopyingMixin, jobs_of
 from .edits import EditsMixin
 from .jobs import JobsMixin, weight_of
-from .kinds import Job, Leg, Step, Task, Worker
+from .kinds import Attempt, Job, Step, Task, Worker
 from .legs import AttemptsMixin
 from .queues import QueuesMixin
 from .reservations import ReservationsMixin
@@ -63,7 +63,7 @@
         self.charter = {"version": 1, "rows": {}, "at": 0}
         # names: name: [stamp, digest, state] of forgotten jobs; gone: id: (earlier boots, leaving boot) of
         # removed workers; legs: run: attempt
-        self.jobs, self.names, self.workers, self.legs, self.gone = {}, {}, {}, {}, {}
+        self.jobs, self.names, self.workers, self.attempts, self.gone = {}, {}, {}, {}, {}
         self.fleet = 0  # counts workers added and removed; not part of a snapshot
         # evacuated: zone: stamp; taken: version that an operator chose: idempotency key of its edit
         self.evacuated, self.taken = {}, {}
@@ -82,7 +82,7 @@
         # order of their jobs; ended: (stamp, name) of jobs that ended, oldest first
         self.ready, self.lines, self.ended = {}, {}, deque()
         # by queue or tenant: running attempts, and [cores, memMb, gpus] that they use
-        self.lane_run, self.lane_used = {}, {}
+        self.running_by_queue, self.used_by_queue = {}, {}
         self.tenant_used, self.tenant_lasting = {}, {}
         for worker in self.workers.values():
             worker.used, worker.runs = [0, 0, 0], {}
@@ -96,8 +96,8 @@
             if job.ended:
                 self.ended.append((job.ended, job.name))
         self.ended = deque(sorted(self.ended))
-        for attempt in sorted(self.legs.values(), key=lambda attempt: attempt.run):
-            self.take_room(attempt=attempt, sign=1)
+        for attempt in sorted(self.attempts.values(), key=lambda attempt: attempt.run):
+            self.count_attempt(attempt=attempt, sign=1)
             self.jobs[attempt.job].tasks[attempt.task].live += 1
 
     def pack(self, *, jobs=True):
@@ -112,7 +112,7 @@
                 "gone": dict(self.gone),
                 "jobs": [job.pack() for job in self.jobs.values()] if jobs else [],
                 "workers": [worker.pack() for worker in self.workers.values()],
-                "legs": [attempt.pack() for attempt in self.legs.values()],
+                "legs": [attempt.pack() for attempt in self.attempts.values()],
             }
             | ({"level": self.level, "sum": self.sum} if self.level else {})
             | ({"evacuated": dict(self.evacuated), "taken": dict(self.taken)} if self.level > 1 else {})
@@ -131,7 +131,7 @@
         self.gone = {worker_id: tuple(past_and_left) for worker_id, past_and_left in snapshot["gone"].items()}
         self.jobs = {packed["name"]: Job.load(packed) for packed in jobs_of(snapshot)}
         self.workers = {packed["id"]: Worker.load(packed) for packed in snapshot["workers"]}
-        self.legs = {packed["run"]: Leg.load(packed) for packed in snapshot["legs"]}
+        self.attempts = {packed["run"]: Attempt.load(packed) for packed in snapshot["legs"]}
         self.evacuated, self.taken = dict(snapshot.get("evacuated", {})), dict(snapshot.get("taken", {}))
         self.load_reservations(snapshot)
         self.load_tenants(snapshot)
@@ -150,10 +150,10 @@
         )
         return hashlib.sha256(pack(snapshot)).hexdigest()[:24]
 
-    def enact(self, *, op, d):
+    def apply_entry(self, *, op, d):
         """Applies one log entry: its operation (`edit`, `turn` or `level`) and that operation's body. Gives
         a Success or a Failure, and extends the running checksum that replicas compare by its result."""
-        result = {"edit": self.edit, "turn": self.turn, "level": self.to_level}[op](d)
+        result = {"edit": self.edit, "turn": self.apply_batch, "level": self.to_level}[op](d)
         if self.level:
             self.sum = zlib.crc32(
                 pack(
@@ -161,7 +161,7 @@
                         result.value if result.ok else type(result).__name__,
                         self.last,
                         len(self.jobs),
-                        len(self.legs),
+                        len(self.attempts),
                         len(self.ready),
                         len(self.ended),
                     ]
@@ -185,7 +185,7 @@
             self.assign_queues()
         return Success(value={"level": self.level})
 
-    def turn(self, batch):
+    def apply_batch(self, batch):
         """Applies a batch of decisions {e: scheduler epoch, c: clock epoch, s: first stamp, v: events}
         and gives the result of each event."""
         if batch["e"] < self.epoch:
--- a/hollowhall/record/charter.py
+++ b/hollowhall/record/charter.py
@@ -46,7 +46,10 @@
     perRack = fields.Int(strict=True, load_default=0, validate=RANGE(min=0, max=10_000))
 
 
-ROOM0, SPREAD0 = RoomSchema().load({}), SpreadSchema().load({})  # loaded once: making a schema is slow
+DEFAULT_ROOM, DEFAULT_SPREAD = (
+    RoomSchema().load({}),
+    SpreadSchema().load({}),
+)  # loaded once: making a schema is slow
 
 
 class StepSchema(Schema):
@@ -56,8 +59,8 @@
     after = fields.List(fields.Str(validate=NAME), load_default=list)
     tasks = fields.Int(strict=True, load_default=1, validate=RANGE(min=1, max=constants.TASKS_MAX))
     kind = fields.Str(required=True, validate=NAME)
-    room = fields.Nested(RoomSchema, load_default=lambda: dict(ROOM0))
-    spread = fields.Nested(SpreadSchema, load_default=lambda: dict(SPREAD0))
+    room = fields.Nested(RoomSchema, load_default=lambda: dict(DEFAULT_ROOM))
+    spread = fields.Nested(SpreadSchema, load_default=lambda: dict(DEFAULT_SPREAD))
     zone = fields.Str(load_default="", validate=validate.Length(max=64))
     rack = fields.Str(load_default="", validate=validate.Length(max=64))
     maxFailures = fields.Int(strict=True, load_default=3, validate=RANGE(min=1, max=1000))
@@ -96,7 +99,7 @@
 LEVEL_2_FIELDS = ("gang", "tight", "near", "label", "copies", "saves", "forever", "notBefore", "estimateMs")
 
 
-def newest(spec):
+def required_level(spec):
     """The lowest format level that supports every field of this job."""
     if "tenant" in spec:
         return 5
@@ -119,7 +122,7 @@
 def check_rows(rows):
     """Rows of a configuration change as the record keeps them; None removes a row. Raises
     Raised(BadInput) with every invalid field."""
-    check = rows_checked(rows)
+    check = check_rows_in_slices(rows)
     while True:
         try:
             next(check)
@@ -127,7 +130,7 @@
             return stop.value
 
 
-def rows_checked(rows):
+def check_rows_in_slices(rows):
     """`check_rows` as a generator that yields the number of rows checked since the last yield, so that a
     daemon can run other work between slices; the rows are the generator's return value."""
     checked, errors = {}, []
--- a/hollowhall/record/copying.py
+++ b/hollowhall/record/copying.py
@@ -9,7 +9,7 @@
 from ..base.circuit import pack, unpack
 
 
-class Copying:
+class SnapshotCopy:
     """A snapshot in progress. `left` holds the jobs that are not packed yet, `most` the number of tasks
     in the next slice."""
 
@@ -24,7 +24,7 @@
         spend(s=tasks * constants.PACK_TASK_CPU_TIME)
         self.blobs.append(pack([job.pack() for job in jobs]))
 
-    def paced(self, *, s):
+    def adapt_slice_size(self, *, s):
         """Adapts the slice size after the last slice, and what else ran then, took s seconds, so
         that a slice blocks the event loop for about as long on a processor of any speed."""
         self.most = int(
@@ -62,7 +62,7 @@
     def spend(self, *, s):
         """Takes the CPU seconds that a `touch` uses; replaced by the daemon during a snapshot."""
 
-    def tasks_n(self):
+    def task_count(self):
         return sum(len(job.tasks) for job in self.jobs.values())
 
     async def picture(self, *, spend, now, also=lambda: None):
@@ -70,7 +70,7 @@
         from another snapshot meanwhile. One at a time: a second caller waits for the first."""
         while self.copying is not None:
             await asyncio.sleep(constants.BATCH_INTERVAL_MIN)
-        copying = self.copying = Copying(rec=self)
+        copying = self.copying = SnapshotCopy(rec=self)
         extra, self.spend = also(), spend
         try:
             while True:
@@ -78,7 +78,7 @@
                 if not copying.slice(spend):
                     break
                 await asyncio.sleep(constants.PACK_SLICE_PAUSE)
-                copying.paced(s=now() - started - constants.PACK_SLICE_PAUSE)
+                copying.adapt_slice_size(s=now() - started - constants.PACK_SLICE_PAUSE)
                 await asyncio.sleep(now() - started)  # packing takes at most half of the time
                 if self.copying is not copying:
                     return None
--- a/hollowhall/record/gangs.py
+++ b/hollowhall/record/gangs.py
@@ -6,7 +6,7 @@
 failed. A copy is a further attempt of a task that is running, if its step allows copies; the
 first success counts and the other attempts are stopped."""
 
-from .kinds import DONE, FAILED, OPEN, READY, RUNNING, STOPPED, Leg
+from .kinds import DONE, FAILED, OPEN, READY, RUNNING, STOPPED, Attempt
 
 
 class GangsMixin:
@@ -17,7 +17,7 @@
         step = job.steps[task.step]
         task.run, task.starts = stamp, no
         task.live, job.live = task.live + 1, job.live + 1
-        attempt = self.legs[stamp] = Leg(
+        attempt = self.attempts[stamp] = Attempt(
             run=stamp,
             task=task.id,
             job=job.name,
@@ -28,7 +28,7 @@
             no=no,
             gang=gang,
         )
-        self.take_room(attempt=attempt, sign=1)
+        self.count_attempt(attempt=attempt, sign=1)
 
     def members(self, *, job, step):
         """All tasks of a step, given by its name, in their order."""
@@ -60,10 +60,10 @@
             why = self.unfit(task, worker, now=now) or ("attempts" if task.live else "")
             if why:
                 for attempt in added:
-                    self.take_room(attempt=attempt, sign=-1)
+                    self.count_attempt(attempt=attempt, sign=-1)
                 return ["no", why]
             added.append(
-                Leg(
+                Attempt(
                     run=stamp + index,
                     task=task.id,
                     job=job_name,
@@ -75,11 +75,11 @@
                     gang=gang,
                 )
             )
-            self.take_room(attempt=added[-1], sign=1)
+            self.count_attempt(attempt=added[-1], sign=1)
         for task, attempt in zip(tasks, added):
             self.task_to(task=task, state=RUNNING, stamp=attempt.run)
             task.run, task.starts, task.live = attempt.run, number, 1
-            self.legs[attempt.run] = attempt
+            self.attempts[attempt.run] = attempt
         job.live += len(tasks)
         return ["ok", stamp]
 
@@ -132,7 +132,7 @@
         elif not step.spec.get("forever") and task.fails >= step.spec["maxFailures"]:
             for member in members:
                 self.task_to(task=member, state=FAILED, stamp=stamp)
-            self.wind_up(
+            self.begin_ending(
                 job=job,
                 goal=FAILED,
                 stamp=stamp,
@@ -145,6 +145,6 @@
     def copy_end(self, *, job, attempt, task, stamp, how):
         """Stops the other attempts of a task after one of them succeeded."""
         if how == "ok" and task.live:
-            for other in self.legs_of(job):
+            for other in self.attempts_of(job):
                 if other.task == task.id:
                     other.stop = other.stop or "copy"
--- a/hollowhall/record/jobs.py
+++ b/hollowhall/record/jobs.py
@@ -135,10 +135,10 @@
             return ["gone", forgotten[2]] if forgotten else ["none", ""]
         if job.state == OPEN:
             self.touch(job)
-            self.wind_up(job=job, goal=CANCELLED, stamp=stamp, why="cancelled")
+            self.begin_ending(job=job, goal=CANCELLED, stamp=stamp, why="cancelled")
         return ["ok", job.state]
 
-    def wind_up(self, *, job, goal, stamp, why):
+    def begin_ending(self, *, job, goal, stamp, why):
         """Ends a job as `goal`: its tasks start no more, and it is ending until its last attempt ends."""
         job.goal = goal
         for task in job.tasks.values():
@@ -148,10 +148,10 @@
             self.job_to(job=job, state=goal, stamp=stamp, why=why)
             return
         self.job_to(job=job, state=ENDING, stamp=stamp, why=why)
-        for attempt in self.legs_of(job):
+        for attempt in self.attempts_of(job):
             attempt.stop = attempt.stop or why
 
-    def legs_of(self, job):
+    def attempts_of(self, job):
         """The attempts of a job, found by the workers that its steps run on."""
         return [
             attempt
@@ -176,7 +176,7 @@
             else:
                 self.open_steps(job=job, stamp=stamp)
 
-    def task_bad(self, *, job, task, worker, stamp, why):
+    def task_failed(self, *, job, task, worker, stamp, why):
         """Counts a failure of a task and retries it after its backoff; the last one allowed fails the job."""
         spec = job.steps[task.step].spec
         task.fails += 1
@@ -185,7 +185,7 @@
             self.task_to(task=task, state=STOPPED, stamp=stamp)
         elif task.fails >= spec["maxFailures"] and not spec.get("forever"):
             self.task_to(task=task, state=FAILED, stamp=stamp)
-            self.wind_up(
+            self.begin_ending(
                 job=job, goal=FAILED, stamp=stamp, why=f"{task.id} failed {task.fails} times, last: {why}"
             )
         else:
--- a/hollowhall/record/kinds.py
+++ b/hollowhall/record/kinds.py
@@ -130,7 +130,7 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class Leg:
+class Attempt:
     """An attempt: one start of a task on a worker."""
 
     run: int
--- a/hollowhall/record/legs.py
+++ b/hollowhall/record/legs.py
@@ -13,7 +13,7 @@
 
     logical_bits = constants.LOGICAL_BITS
 
-    def take_room(self, *, attempt, sign):
+    def count_attempt(self, *, attempt, sign):
         """Adds an attempt (1) to every count of running attempts and used resources, or removes it (-1)."""
         worker, step = self.workers[attempt.worker], self.jobs[attempt.job].steps[attempt.step]
         for i in range(3):
@@ -31,10 +31,10 @@
 
     def count_in_queue(self, *, attempt, sign):
         """Adds an attempt (1) to what its queue runs and uses, or removes it (-1)."""
-        used = self.lane_used.setdefault(attempt.lane, [0, 0, 0])
+        used = self.used_by_queue.setdefault(attempt.lane, [0, 0, 0])
         for i in range(3):
             used[i] += sign * attempt.room[i]
-        self.lane_run[attempt.lane] = self.lane_run.get(attempt.lane, 0) + sign
+        self.running_by_queue[attempt.lane] = self.running_by_queue.get(attempt.lane, 0) + sign
 
     def unfit(self, task, worker, *, now):
         """Why a task may not start on a worker at `now` ms; empty if it may."""
@@ -47,7 +47,7 @@
             return "due"
         if row is None:
             return "lane"
-        if row["limit"] and self.lane_run.get(job.lane, 0) >= row["limit"]:
+        if row["limit"] and self.running_by_queue.get(job.lane, 0) >= row["limit"]:
             return "limit"
         return self.unfit_worker(step=step, spec=spec, worker=worker, now=now, lane=job.lane)
 
@@ -98,10 +98,10 @@
     def ev_end(self, stamp, run, how, why, saved=""):
         """Ends an attempt, once, by its run. how: ok, bad, stopped or lost (from level 2 on also
         alone, broken or refused). saved: the checkpoint that it left."""
-        attempt = self.legs.pop(run, None)
+        attempt = self.attempts.pop(run, None)
         if attempt is None:
             return ["late", run]
-        self.take_room(attempt=attempt, sign=-1)
+        self.count_attempt(attempt=attempt, sign=-1)
         job = self.jobs[attempt.job]
         self.touch(job)
         task = job.tasks[attempt.task]
@@ -125,7 +125,7 @@
             self.task_done(job=job, task=task, stamp=stamp)
             self.copy_end(job=job, attempt=attempt, task=task, stamp=stamp, how=how)
         elif failed and (task.live == 0 or task.fails + 1 >= spec["maxFailures"]):
-            self.task_bad(job=job, task=task, worker=attempt.worker, stamp=stamp, why=why)
+            self.task_failed(job=job, task=task, worker=attempt.worker, stamp=stamp, why=why)
         elif task.live:
             task.fails += failed
         elif job.state == OPEN:
@@ -137,7 +137,7 @@
 
     def ev_stop(self, stamp, run, why):
         """Marks an attempt as one to be stopped; the first reason is kept."""
-        attempt = self.legs.get(run)
+        attempt = self.attempts.get(run)
         if attempt is None:
             return ["late", run]
         attempt.stop = attempt.stop or why
@@ -180,7 +180,7 @@
         for run in sorted(worker.runs):
             self.ev_end(stamp, run, "lost", "worker lost", (saved or {}).get(run, ""))
 
-    def restarts(self, *, worker, attempt):
+    def may_restart(self, *, worker, attempt):
         """Whether an attempt of a lost worker may be started again: it has certainly stopped, or its step
         allows it to run twice."""
         how = self.jobs[attempt.job].steps[attempt.step].spec.get("ifLost", "auto")
@@ -207,7 +207,7 @@
         if not self.rule["lost_waits"]:
             self.end_attempts(worker, stamp=stamp)
         for run in sorted(worker.runs):
-            if self.restarts(worker=worker, attempt=worker.runs[run]):
+            if self.may_restart(worker=worker, attempt=worker.runs[run]):
                 self.ev_end(stamp, run, "lost", "worker lost", (saved or {}).get(run, ""))
         if worker.runs:
             worker.state, worker.was = LOST, worker.state
--- a/hollowhall/record/queues.py
+++ b/hollowhall/record/queues.py
@@ -87,7 +87,7 @@
         ready = [task for task in job.tasks.values() if task.state == READY]
         for task in ready:
             self.unready(task)
-        for attempt in self.legs_of(job):
+        for attempt in self.attempts_of(job):
             self.count_in_queue(attempt=attempt, sign=-1)
             attempt.lane = queue
             self.count_in_queue(attempt=attempt, sign=1)
--- a/hollowhall/record/reservation_bodies.py
+++ b/hollowhall/record/reservation_bodies.py
@@ -27,14 +27,14 @@
     untilMs = fields.Int(strict=True, required=True, validate=MS)
 
 
-class ShorterSchema(Schema):
+class ReductionSchema(Schema):
     """A change that ends a reservation earlier or lowers its count."""
 
     count = fields.Int(strict=True, validate=COUNT)
     untilMs = fields.Int(strict=True, validate=MS)
 
 
-RESERVATION, SHORTER = ReservationSchema(), ShorterSchema()
+RESERVATION, REDUCTION = ReservationSchema(), ReductionSchema()
 
 
 def check_reservation(body):
@@ -59,10 +59,10 @@
     return reservation, hashlib.sha256(packed).hexdigest()[:32]
 
 
-def check_shorter(body):
+def check_reduction(body):
     """The fields of a change that reduces a reservation; raises Raised(BadInput)."""
     try:
-        change = SHORTER.load(body)
+        change = REDUCTION.load(body)
     except ValidationError as error:
         raise Raised(BadInput(errors=flat(messages=error.messages))) from None
     if not change:
--- a/hollowhall/record/reservations.py
+++ b/hollowhall/record/reservations.py
@@ -69,22 +69,29 @@
     return most
 
 
-def fill(*, r, workers, taken, most=None):
+def fill(*, reservation, workers, taken, most=None):
     """Assigns as much of reservation r as fits to workers, in their order, and adds it to
     taken, {worker: [(begin, until, room)]}. Gives {worker: count}; most: {worker: highest count}."""
-    assigned, left = {}, r.count
+    assigned, left = {}, reservation.count
     for worker in workers:
         if left == 0:
             break
         in_use = taken.get(worker.id)
-        peak_use = peak(taken=in_use, begin=r.begin, until=r.until) if in_use else (0, 0, 0)
+        peak_use = (
+            peak(taken=in_use, begin=reservation.begin, until=reservation.until) if in_use else (0, 0, 0)
+        )
         count = min(
             left,
-            slots(free=[worker.room[resource] - peak_use[resource] for resource in range(3)], room=r.room),
+            slots(
+                free=[worker.room[resource] - peak_use[resource] for resource in range(3)],
+                room=reservation.room,
+            ),
         )
         count = count if most is None else min(count, most.get(worker.id, 0))
         if count:
-            taken.setdefault(worker.id, []).append((r.begin, r.until, [count * amount for amount in r.room]))
+            taken.setdefault(worker.id, []).append(
+                (reservation.begin, reservation.until, [count * amount for amount in reservation.room])
+            )
             assigned[worker.id], left = count, left - count
     return assigned
 
@@ -94,7 +101,7 @@
 
     def clear_reservations(self):
         self.reservations = {}  # by id, in the order of their stamps
-        self.reserved_n = 0  # counts their changes; not part of a snapshot
+        self.reservation_changes = 0  # counts their changes; not part of a snapshot
 
     def pack_reservations(self):
         return (
@@ -107,7 +114,7 @@
         self.reservations = {
             fields["id"]: Reservation(**fields) for fields in snapshot.get("reservations", ())
         }
-        self.reserved_n += 1
+        self.reservation_changes += 1
 
     def reservation_to(self, *, reservation, state, now):
         """Changes a reservation's state; asserts that the transition is allowed."""
@@ -117,7 +124,7 @@
             state,
         )
         reservation.state, reservation.ended = state, now
-        self.reserved_n += 1
+        self.reservation_changes += 1
 
     def reserved(self, *, now, kind=""):
         """Confirmed reservations (of a kind) that are not over, in the order of confirmation."""
@@ -127,7 +134,7 @@
             if reservation.state == CONFIRMED and now < reservation.until and kind in ("", reservation.kind)
         ]
 
-    def well(self, worker):
+    def is_available(self, worker):
         """Whether a worker counts for reservations: it is up and its zone is not evacuated."""
         return worker.state == UP and worker.zone not in self.evacuated
 
@@ -152,7 +159,7 @@
         of_kind = [
             worker
             for _, worker in sorted(self.workers.items())
-            if worker.kind == reservation.kind and self.well(worker)
+            if worker.kind == reservation.kind and self.is_available(worker)
         ]
         candidates = [worker for worker in of_kind if reservation.wants(worker)]
         if not candidates:
@@ -161,8 +168,10 @@
             return "room", 0
         taken, others = {}, self.beside(reservation, now=now)
         for other in others:
-            fill(r=other, workers=[worker for worker in of_kind if other.wants(worker)], taken=taken)
-        fits = sum(fill(r=reservation, workers=candidates, taken=taken).values())
+            fill(
+                reservation=other, workers=[worker for worker in of_kind if other.wants(worker)], taken=taken
+            )
+        fits = sum(fill(reservation=reservation, workers=candidates, taken=taken).values())
         most = [sum(worker.room[resource] for worker in of_kind) * percent // 100 for resource in range(3)]
         peak_use = peak(
             begin=reservation.begin,
@@ -218,7 +227,7 @@
         if why:
             return ["no", why, fits]
         self.reservations[name] = reservation
-        self.reserved_n += 1
+        self.reservation_changes += 1
         return ["new", reservation.state]
 
     def ev_release(self, stamp, name):
@@ -241,7 +250,7 @@
         if until > reservation.until or count > reservation.count or until <= reservation.begin:
             return ["no", "larger" if until > reservation.begin else "window", 0]
         reservation.until, reservation.count = until, count
-        self.reserved_n += 1
+        self.reservation_changes += 1
         return ["ok", reservation.state]
 
     def old_reservations(self, *, now):
@@ -258,4 +267,4 @@
         """Removes the reservations that ended long enough ago."""
         for name in self.old_reservations(now=now):
             del self.reservations[name]
-            self.reserved_n += 1
+            self.reservation_changes += 1
--- a/hollowhall/record/tenants.py
+++ b/hollowhall/record/tenants.py
@@ -133,7 +133,7 @@
         """All attempts of the gang that an attempt belongs to."""
         return [
             other
-            for other in self.legs_of(self.jobs[attempt.job])
+            for other in self.attempts_of(self.jobs[attempt.job])
             if other.gang == attempt.gang and other.step == attempt.step
         ]
 
--- a/hollowhall/tools/measure/place.py
+++ b/hollowhall/tools/measure/place.py
@@ -56,7 +56,7 @@
     if (
         row is None
         or row["limit"]
-        and rec.lane_run.get(j.lane, 0) >= row["limit"]
+        and rec.running_by_queue.get(j.lane, 0) >= row["limit"]
         or max(t.due, t.at >> constants.LOGICAL_BITS) > now - 100
     ):
         return False
@@ -102,7 +102,7 @@
                 idle.append(1 - sum(x.used[0] for x in ws) / sum(x.room[0] for x in ws))
             else:
                 idle.append(0.0)
-            u = [rec.lane_used.get(a, [0])[0] for a in ("even-1", "even-3")]
+            u = [rec.used_by_queue.get(a, [0])[0] for a in ("even-1", "even-3")]
             if sum(u) > 30 and {"even-1", "even-3"} <= rec.lines.keys():
                 shares.append(u[1] / sum(u))
         load.cancel()
--- a/hollowhall/tools/measure/sick_fleet.py
+++ b/hollowhall/tools/measure/sick_fleet.py
@@ -40,8 +40,8 @@
         self.open_pace()
         self.open_place()
         for n in (1, 2):
-            self.record.enact(op="level", d=n)
-        self.record.enact(op="edit", d={"base": 1, "rows": rows, "whole": True})
+            self.record.apply_entry(op="level", d=n)
+        self.record.apply_entry(op="edit", d={"base": 1, "rows": rows, "whole": True})
 
     def say(self, e, **kw):
         self.said.append((self.t, e.no, kw))
@@ -79,7 +79,7 @@
         self.note_health(events=evs, ms=ms)
         self.note_pace(events=evs, ms=ms)
         d = {"e": 1, "c": 1, "s": max(self.record.last + 1, ms << constants.LOGICAL_BITS), "v": evs}
-        for (_, k), r in zip(items, self.record.enact(op="turn", d=d).value):
+        for (_, k), r in zip(items, self.record.apply_entry(op="turn", d=d).value):
             if k is not None:
                 k(r, 0)
 
--- a/hollowhall/tools/operate/restore.py
+++ b/hollowhall/tools/operate/restore.py
@@ -30,7 +30,7 @@
     for _, _, body in entries:
         operation = unpack(body)
         if operation[0] in ("turn", "edit", "level"):
-            record.enact(op=operation[0], d=operation[1])
+            record.apply_entry(op=operation[0], d=operation[1])
         elif operation[0] == "members":
             membership = operation[1]
     return record, membership
--- a/hollowhall/tools/plan/ahead.py
+++ b/hollowhall/tools/plan/ahead.py
@@ -86,7 +86,7 @@
             [],
         )
         self.lanes, self.busy = {}, {}
-        for attempt in sorted(record.legs.values(), key=lambda attempt: attempt.run):
+        for attempt in sorted(record.attempts.values(), key=lambda attempt: attempt.run):
             ran = now - (attempt.run >> constants.LOGICAL_BITS)
             if (
                 record.workers[attempt.worker].state != LOST
@@ -136,7 +136,7 @@
             state = self.record.jobs[task.rsplit("/", 2)[0]].tasks[task]
             since, stamp = max(self.now, state.at >> constants.LOGICAL_BITS, state.due), self.stamp()
             if self.record.ev_grant(stamp, task, worker)[0] == "ok":
-                attempt = self.record.legs[stamp]
+                attempt = self.record.attempts[stamp]
                 figures = self.lane(attempt.lane)
                 figures["started"] += 1
                 figures["waits"].append(max(0, self.clock_ms - since))
@@ -170,7 +170,7 @@
                 return self.figures(seconds)
             while self.pending_ends and self.pending_ends[0][0] <= self.clock_ms:
                 _, run = heapq.heappop(self.pending_ends)
-                attempt = self.record.legs.get(run)
+                attempt = self.record.attempts.get(run)
                 if attempt is not None:
                     self.lane(attempt.lane)["ended"] += 1
                     self.record.ev_end(self.stamp(), run, "ok", "")
--- a/hollowhall/tools/plan/plan.py
+++ b/hollowhall/tools/plan/plan.py
@@ -55,7 +55,7 @@
     `moves`, `impossible` and `stops` by queue, and the number of `unchanged` starts."""
     present, now = read_picture(picture)
     changed, _ = read_picture(json.loads(json.dumps(picture)))
-    present_workers = {attempt.task: attempt.worker for attempt in changed.legs.values()}
+    present_workers = {attempt.task: attempt.worker for attempt in changed.attempts.values()}
     apply(changed, change, now)
     starts_now, reasons_now = round_of(present, now)
     starts_then, reasons_then = round_of(changed, now)
--- a/hollowhall/tools/plan/solve_file.py
+++ b/hollowhall/tools/plan/solve_file.py
@@ -9,7 +9,7 @@
 from ...base import constants
 from ...base.params import NAME, flat
 from ...base.problems import BadInput, Raised
-from ...record.charter import ROOM0, RoomSchema, SpreadSchema
+from ...record.charter import DEFAULT_ROOM, RoomSchema, SpreadSchema
 
 OBJECTIVES = ("fewest-workers", "even-load", "fewest-moves")
 RESOURCES = ("cores", "memMb", "gpus")
@@ -78,7 +78,7 @@
     name = fields.Str(required=True, validate=validate.Length(min=1, max=200))
     tasks = fields.Int(strict=True, load_default=1, validate=validate.Range(min=1, max=constants.TASKS_MAX))
     kind = fields.Str(required=True, validate=NAME)
-    room = fields.Nested(RoomSchema, load_default=lambda: dict(ROOM0))
+    room = fields.Nested(RoomSchema, load_default=lambda: dict(DEFAULT_ROOM))
     zone = fields.Str(validate=validate.Length(max=64))
     rack = fields.Str(validate=validate.Length(max=64))
     spread = fields.Nested(SpreadSchema)
--- a/hollowhall/tools/scale/counted.py
+++ b/hollowhall/tools/scale/counted.py
@@ -103,9 +103,9 @@
             "turns": d.batch_count,
             "events": d.event_count,
             "workers": len(rec.workers),
-            "runs": len(rec.legs),
+            "runs": len(rec.attempts),
             "jobs": len(rec.jobs),
-            "tasks": rec.tasks_n(),
+            "tasks": rec.task_count(),
         }
     return {"duty": "mast", "charter": d.charter["version"]}
 
--- a/hollowhall/tools/scale/virtual.py
+++ b/hollowhall/tools/scale/virtual.py
@@ -134,8 +134,8 @@
             if (
                 d
                 and len(d.record.workers) >= x.workers
-                and len(d.record.legs) >= x.running
-                and d.record.tasks_n() >= x.running + x.kept
+                and len(d.record.attempts) >= x.running
+                and d.record.task_count() >= x.running + x.kept
             ):
                 return await asyncio.sleep(2.0)
             await asyncio.sleep(0.2)
--- a/tests/queue_store.py
+++ b/tests/queue_store.py
@@ -27,11 +27,11 @@
         """Applies events as one batch; their results."""
         self.stamp += 1000 << LOGICAL_BITS
         batch = {"e": 1, "c": 1, "s": self.stamp, "v": list(events)}
-        return self.record.enact(op="turn", d=batch).value
+        return self.record.apply_entry(op="turn", d=batch).value
 
     def configure(self, *, tenants=None, **rows):
         self.revision += 1
-        result = self.record.enact(
+        result = self.record.apply_entry(
             op="edit",
             d={
                 "chosen": self.revision,
--- a/tests/reserved_cost.py
+++ b/tests/reserved_cost.py
@@ -16,7 +16,7 @@
     a round's refresh in an open window; workers of 8 accelerators, half of them reserved."""
     record, rng, figures = Record(), random.Random(seed), {}
     for level in (1, 2, 3):
-        record.enact(op="level", d=level)
+        record.apply_entry(op="level", d=level)
     record.charter = {"version": 2, "rows": LANES, "at": 0}
     for number in range(workers):
         record.ev_worker(number + 1, f"w{number}", "b", "gpu", "z1", "r", [64, 262144, 8], True)
--- a/tests/tenant_store.py
+++ b/tests/tenant_store.py
@@ -35,6 +35,6 @@
         """Cores that the tenant's attempts take, summed over the attempts."""
         return sum(
             attempt.room[0]
-            for attempt in self.record.legs.values()
+            for attempt in self.record.attempts.values()
             if self.record.jobs[attempt.job].tenant == tenant
         )
--- a/tests/test_backfill.py
+++ b/tests/test_backfill.py
@@ -2,7 +2,7 @@
 place once these become unfit. Guards against a failure of the simulated day (docs/incidents/): gangs starved
 beside sixty empty workers, since the workers held back for them had come to be on trial or set aside."""
 
-from test_level_two import made, step
+from test_level_two import record_with_job, step
 
 from hollowhall.desk.place import Round
 from hollowhall.record.charter import check_job
@@ -22,7 +22,7 @@
 
 
 def test_no_worker_on_trial_or_set_aside_is_held_back_for_a_gang():
-    record = made(steps=[gang()], workers=6)
+    record = record_with_job(steps=[gang()], workers=6)
     busy(record, "w0", "w1", "w2", "w3", "w4")
     placement_round = Round(rec=record, now=WAITED, most=9, trials={"w4"}, aside={"w5": (0.0, 9e9)})
     placement_round.run()
@@ -30,7 +30,7 @@
 
 
 def test_a_held_worker_that_turns_unfit_is_replaced():
-    record = made(steps=[gang()], workers=6)
+    record = record_with_job(steps=[gang()], workers=6)
     busy(record, "w0", "w1", "w2", "w3", "w4")
     kept = {"w0": ("j", "0.0"), "w1": ("j", "0.0")}
     placement_round = Round(rec=record, now=WAITED, most=9, kept=kept, aside={"w0": (0.0, 9e9)})
@@ -39,7 +39,7 @@
 
 
 def test_what_does_not_suffice_any_more_is_given_free():
-    record = made(steps=[gang()], workers=4)
+    record = record_with_job(steps=[gang()], workers=4)
     busy(record, "w0", "w1", "w2", "w3")
     kept = {"w0": ("j", "0.0"), "w1": ("j", "0.0")}
     placement_round = Round(
@@ -51,7 +51,7 @@
 
 def test_a_gang_that_waits_long_starts_on_workers_on_trial_rather_than_not_at_all():
     def gangs(ms):
-        record = made(steps=[gang()], workers=3)
+        record = record_with_job(steps=[gang()], workers=3)
         busy(record, "w0")
         placement_round = Round(rec=record, now=ms, most=9, trials={"w1", "w2"})
         placement_round.run()
@@ -61,7 +61,7 @@
 
 
 def test_a_worker_on_trial_that_runs_something_takes_no_member():
-    record = made(steps=[gang(cores=4000)], workers=2)
+    record = record_with_job(steps=[gang(cores=4000)], workers=2)
     one = check_job({"lane": "q", "steps": [step(room={"cores": 1000})]})
     record.do(["job", "f", *one], ["grant", "f/0.0/0", "w1"])
     placement_round = Round(rec=record, now=WAITED_LONG, most=9, trials={"w1"}, aside={"w0": (0.0, 9e9)})
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -29,7 +29,7 @@
         self.stamp += after_ms << LOGICAL_BITS
         batch = {"e": 1, "c": 1, "s": self.stamp + 1, "v": [["refill", process, seq, received, rows]]}
         self.stamp += 1
-        return self.record.enact(op="turn", d=batch).value[0]
+        return self.record.apply_entry(op="turn", d=batch).value[0]
 
     def tokens(self, tenant="t"):
         return self.record.budgets[tenant].tokens
@@ -147,7 +147,7 @@
     store.refill()
     store.record.budgets["t"].tokens = 0
     store.refill(left=200, after_ms=5000)
-    for task in [attempt.task for attempt in list(store.record.legs.values())]:
+    for task in [attempt.task for attempt in list(store.record.attempts.values())]:
         store.end(task)
     store.stamp += 1
     store.record.budgets["t"].at = store.stamp >> LOGICAL_BITS
--- a/tests/test_control_answers.py
+++ b/tests/test_control_answers.py
@@ -7,7 +7,7 @@
 import pytest
 from control import Control
 from test_desk_edges import Desk
-from test_level_two import made, step
+from test_level_two import record_with_job, step
 
 from hollowhall.almanac.serve import ServeMixin
 from hollowhall.base.circuit import RpcConnection, hello_failure, pack, unpack
@@ -31,7 +31,7 @@
     def __init__(self, changes):
         self.record = Record()
         for level in (1, 2):
-            self.record.enact(op="level", d=level)
+            self.record.apply_entry(op="level", d=level)
         for number in range(changes):
             assert self.record.edit(edit(3 * number + 3, 3 * number, f"m{number}")).ok
 
@@ -121,7 +121,7 @@
 
 def beating_desk():
     """A primary with one worker that runs one attempt."""
-    desk = Desk(made(steps=[step()]))
+    desk = Desk(record_with_job(steps=[step()]))
     desk.open_batches()
     desk.record.do(["grant", "j/0.0/0", "w0"])
     desk.sessions = {"w0": WorkerSession(boot="1", names_attempts=True, seq=5, running={1})}
--- a/tests/test_desk_edges.py
+++ b/tests/test_desk_edges.py
@@ -10,7 +10,7 @@
 from types import SimpleNamespace as Bag
 
 import pytest
-from test_level_two import ROW, made, runs, step
+from test_level_two import ROW, record_with_job, runs, step
 from test_pace import Desk as PaceDesk
 
 from hollowhall.base.doors import Call
@@ -53,7 +53,7 @@
 
 
 def test_an_unsure_turn_that_gives_a_worker_up_keeps_it_silent_until_the_record_is_reread():
-    desk = Desk(made(steps=[step()]))
+    desk = Desk(record_with_job(steps=[step()]))
     desk.open_batches()
     desk.record.do(["grant", "j/0.0/0", "w0"])
     session = WorkerSession(boot="1", names_attempts=True, status_pending=True, lost_pending=True)
@@ -81,7 +81,7 @@
 
 def places_near_rack(waited_ms, *, usual, far=3.0, evacuated=(), workers=5):
     """What a round places after a task has waited `waited_ms` for its rack, which is full or evacuated."""
-    record = made(steps=[step(near="r1", room={"cores": 8000})], workers=workers)
+    record = record_with_job(steps=[step(near="r1", room={"cores": 8000})], workers=workers)
     for zone in evacuated:
         record.do(["evacuate", zone, True])
     if not evacuated:  # the rack is full, the other is empty
@@ -104,7 +104,7 @@
 
 
 def test_no_gang_waits_three_seconds_for_one_rack_beside_empty_workers():
-    record = made(steps=[step(tasks=2, gang=True, tight=True, room={"cores": 8000})], workers=4)
+    record = record_with_job(steps=[step(tasks=2, gang=True, tight=True, room={"cores": 8000})], workers=4)
     spec, digest = check_job({"lane": "q", "steps": [step(tasks=2)]})
     record.do(["job", "f", spec, digest], ["grant", "f/0.0/0", "w0"], ["grant", "f/0.0/1", "w1"])
     placement = Round(rec=record, now=1000 + 2900, most=9, far=3, usual={"q": 5600})
@@ -122,14 +122,14 @@
     front.submit(call, None, "q", "n", tenant="")
     gateway.charter = {"rows": {"q": row | {"kind": "other"}}}
     front.submit(call, None, "q", "n", tenant="")
-    record = made(steps=[step()])
+    record = record_with_job(steps=[step()])
     first, second = ([request["spec"], request["digest"]] for request in sent)
     assert record.do(["job", "n", *first])[0][0] == "new"
     assert record.do(["job", "n", *second])[0][0] == "same"
 
 
 def test_a_start_granted_before_its_zone_was_evacuated_is_not_told_after():
-    desk = Desk(made(steps=[step()]))
+    desk = Desk(record_with_job(steps=[step()]))
     desk.record.do(["grant", "j/0.0/0", "w0"])
     desk.record.do(["evacuate", "z0", True])
     session = WorkerSession(boot="1", names_attempts=True)
@@ -154,12 +154,14 @@
 
 
 def test_a_worker_without_any_room_stops_no_round():
-    record = made(steps=[step(room={"cores": 0})], room=(0, 0, 0))
+    record = record_with_job(steps=[step(room={"cores": 0})], room=(0, 0, 0))
     Round(rec=record, now=1100, most=9).run()
 
 
 def test_an_older_job_that_waits_for_its_rack_holds_nobody_up_who_has_waited_enough():
-    record = made(steps=[step(), step("0.1", near="r1", after=["0.0"], room={"cores": 8000})], workers=6)
+    record = record_with_job(
+        steps=[step(), step("0.1", near="r1", after=["0.0"], room={"cores": 8000})], workers=6
+    )
     one = check_job({"lane": "q", "steps": [step(near="r1", room={"cores": 8000})]})
     full = check_job({"lane": "q", "steps": [step(tasks=3, room={"cores": 8000})]})
     record.do(
@@ -169,7 +171,8 @@
         *[["grant", f"g/0.0/{n}", f"w{2 * n + 1}"] for n in range(3)],
     )
     record.do(
-        ["end", next(run for run, attempt in record.legs.items() if attempt.job == "j"), "ok", ""], ms=3900
+        ["end", next(run for run, attempt in record.attempts.items() if attempt.job == "j"), "ok", ""],
+        ms=3900,
     )
     run = Round(rec=record, now=1000 + 4000, most=9, far=2.0, usual={"q": 1000})
     assert [t for t, _ in run.run()] == ["f/0.0/0"]
@@ -184,7 +187,7 @@
 
 
 def test_probation_of_all_that_suit_a_step_is_lifted_once_it_has_waited():
-    desk = Carer(made(steps=[step(label="r1")], workers=4))  # w1 and w3 have the label
+    desk = Carer(record_with_job(steps=[step(label="r1")], workers=4))  # w1 and w3 have the label
     desk.record.do(*[["flaky", worker_id, 90_000] for worker_id in ("w1", "w3")])
     desk.retry_needed_workers(ms=1100)
     assert desk.events == []
@@ -193,7 +196,7 @@
 
 
 def test_probation_stays_where_others_suit_and_half_of_the_kind_is_in_use():
-    desk = Carer(made(steps=[step(room={"cores": 8000})], workers=4))
+    desk = Carer(record_with_job(steps=[step(room={"cores": 8000})], workers=4))
     full = check_job({"lane": "q", "steps": [step(tasks=3, room={"cores": 8000})]})
     desk.record.do(["job", "f", *full], *[["grant", f"f/0.0/{n}", f"w{n}"] for n in range(3)])
     desk.record.do(["flaky", "w3", 90_000])
@@ -202,7 +205,7 @@
 
 
 def test_the_failures_of_tasks_that_last_say_nothing_of_their_worker():
-    desk = Carer(made(steps=[step(forever=True)], standing=True))
+    desk = Carer(record_with_job(steps=[step(forever=True)], standing=True))
     desk.record.do(["grant", "j/0.0/0", "w0"])
     desk.note_ends([["end", runs(desk.record)[0], "bad", ""]])
     assert not desk.recent_failures
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -2,7 +2,7 @@
 `hollowhall explain` on it, from a daemon's log and from the output of a test bench."""
 
 from cleo.testers.command_tester import CommandTester
-from test_level_two import made, runs, step
+from test_level_two import record_with_job, runs, step
 from test_pace import Desk as PaceDesk
 
 from hollowhall.base import constants, log_events
@@ -36,7 +36,7 @@
 
 def traced(*, took=2000, how="ok", **kw):
     """A scheduler that traced one job, which ended after `took` ms; its aim is 800 ms."""
-    desk = Desk(made(steps=[step(estimateMs=400, maxFailures=1, **kw)], rows={"q": ROW}))
+    desk = Desk(record_with_job(steps=[step(estimateMs=400, maxFailures=1, **kw)], rows={"q": ROW}))
     desk.traced_ms = 1000
     desk.trace_waits(ms=1000 + constants.TRACE_CHECK_PERIOD_MS)
     desk.do(["grant", "j/0.0/0", "w0"], ms=200)
@@ -75,7 +75,7 @@
 
 
 def test_a_job_cancelled_before_it_began_is_forgotten():
-    desk = Desk(made(steps=[step()], rows={"q": ROW}))
+    desk = Desk(record_with_job(steps=[step()], rows={"q": ROW}))
     desk.traced_ms = 1000
     desk.trace_waits(ms=1000 + constants.TRACE_CHECK_PERIOD_MS)
     assert list(desk.traces) == ["j"]
@@ -86,7 +86,7 @@
 
 def test_the_memory_of_the_trace_is_bounded(monkeypatch):
     monkeypatch.setattr(constants, "TRACED_JOBS_MAX", 0)
-    desk = Desk(made(steps=[step()]))
+    desk = Desk(record_with_job(steps=[step()]))
     desk.do(["grant", "j/0.0/0", "w0"], ms=200)
     assert not desk.traces
 
--- a/tests/test_going.py
+++ b/tests/test_going.py
@@ -3,7 +3,7 @@
 
 from types import SimpleNamespace as Bag
 
-from test_level_two import made, step
+from test_level_two import record_with_job, step
 
 from hollowhall.base.problems import NotPrimary
 from hollowhall.desk.beats import BeatsMixin
@@ -28,7 +28,7 @@
 
 
 def test_a_worker_that_is_being_given_up_is_told_nothing():
-    desk = Desk(made(steps=[step()]))
+    desk = Desk(record_with_job(steps=[step()]))
     desk.record.do(["grant", "j/0.0/0", "w0"])
     session = WorkerSession(boot="1", names_attempts=True)
     assert desk.beat_answer(worker_id="w0", session=session).value["starts"]
--- a/tests/test_headroom_held.py
+++ b/tests/test_headroom_held.py
@@ -2,7 +2,7 @@
 which no one else may use meanwhile."""
 
 from test_backfill import busy
-from test_level_two import ROW, made, step
+from test_level_two import ROW, record_with_job, step
 
 from hollowhall.desk.place import Round
 
@@ -13,7 +13,7 @@
 
 def run_round(*, kept, tasks=1):
     """A round in which a step waits, with one full and one idle worker."""
-    record = made(steps=[step(room={"cores": 8000}, tasks=tasks)], workers=2, rows=ROWS)
+    record = record_with_job(steps=[step(room={"cores": 8000}, tasks=tasks)], workers=2, rows=ROWS)
     busy(record, "w0")
     placement_round = Round(rec=record, now=SOON, most=9, kept=kept, peak_use=PEAK)
     return placement_round.run(), placement_round
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -2,7 +2,7 @@
 at a time, tasks that fail everywhere and blame no worker, and a bound on how many are set aside."""
 
 import pytest
-from test_level_two import made, step
+from test_level_two import record_with_job, step
 from test_pace import Desk as PaceDesk
 
 from hollowhall.base import constants
@@ -43,7 +43,7 @@
 
 def new_desk(workers=6, tasks=200, steps=4):
     return Desk(
-        made(
+        record_with_job(
             steps=[step(f"0.{number}", tasks=tasks, maxFailures=99) for number in range(steps)],
             workers=workers,
         )
--- a/tests/test_held_for_nobody.py
+++ b/tests/test_held_for_nobody.py
@@ -1,6 +1,6 @@
 """Workers that are held back for a step which may not start now are released for others."""
 
-from test_level_two import ROW, made, step
+from test_level_two import ROW, record_with_job, step
 
 from hollowhall.base.constants import LOGICAL_BITS
 from hollowhall.desk.place import Round
@@ -12,7 +12,9 @@
 
 def held(*, steps=None, row=ROW):
     """(record, kept): one idle worker, held back for job `j`, while an urgent job waits for a worker."""
-    record = made(steps=steps or [step(room={"cores": 8000})], workers=1, rows={"q": row, "urgent": URGENT})
+    record = record_with_job(
+        steps=steps or [step(room={"cores": 8000})], workers=1, rows={"q": row, "urgent": URGENT}
+    )
     record.do(["job", "u", *check_job({"lane": "urgent", "steps": [step(room={"cores": 8000})]})])
     return record, {"w0": ("j", "0.0")}
 
@@ -25,7 +27,7 @@
 
 def configure(record, **rows):
     version = record.charter["version"]
-    assert record.enact(op="edit", d={"base": version, "rows": rows, "whole": False}).ok
+    assert record.apply_entry(op="edit", d={"base": version, "rows": rows, "whole": False}).ok
 
 
 def test_a_worker_held_back_for_a_job_of_a_removed_queue_is_given_free():
--- a/tests/test_lasting_gangs.py
+++ b/tests/test_lasting_gangs.py
@@ -1,18 +1,18 @@
 """Gangs of jobs without an end are started again, however they end."""
 
 import pytest
-from test_level_two import made, step
+from test_level_two import record_with_job, step
 
 LASTING = step(tasks=2, gang=True, forever=True)
 
 
 def record_after_end(how, *, level):
     """A record whose gang ran once, at a format level; both members ended as `how` says."""
-    record = made(steps=[LASTING], workers=2, standing=True)
+    record = record_with_job(steps=[LASTING], workers=2, standing=True)
     for n in range(3, level + 1):
-        record.enact(op="level", d=n)
+        record.apply_entry(op="level", d=n)
     record.do(["gang", "j", "0.0", ["w0", "w1"]])
-    for run in sorted(record.legs):
+    for run in sorted(record.attempts):
         record.do(["end", run, how, ""])
     return record
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -7,7 +7,7 @@
 
 from hollowhall.base import constants
 from hollowhall.base.problems import Late, Success
-from hollowhall.record.copying import Copying
+from hollowhall.record.copying import SnapshotCopy
 from hollowhall.sim.world import World
 from hollowhall.standins.shapes import SHAPES
 from hollowhall.tools.measure.crowd import crowd
@@ -79,17 +79,19 @@
         def pack(self, jobs):
             return {}
 
-    copying = Copying(rec=EmptyRecord())
+    copying = SnapshotCopy(rec=EmptyRecord())
     for _ in range(20):
-        copying.paced(s=copying.most * constants.PACK_TASK_CPU_TIME * 24)  # a processor 24 times slower
+        copying.adapt_slice_size(
+            s=copying.most * constants.PACK_TASK_CPU_TIME * 24
+        )  # a processor 24 times slower
     assert (
         copying.most * constants.PACK_TASK_CPU_TIME * 24 < 1.5 * constants.PACK_SLICE_TARGET_TIME
         and copying.most >= constants.PACK_SLICE_MIN_TASKS
     )
     for _ in range(20):
-        copying.paced(s=copying.most * constants.PACK_TASK_CPU_TIME)
+        copying.adapt_slice_size(s=copying.most * constants.PACK_TASK_CPU_TIME)
     assert copying.most == constants.PACK_SLICE_MAX_TASKS
-    copying.paced(s=9.0)
+    copying.adapt_slice_size(s=9.0)
     assert copying.most == constants.PACK_SLICE_MIN_TASKS
 
 
--- a/tests/test_level_two.py
+++ b/tests/test_level_two.py
@@ -6,7 +6,7 @@
 
 from hollowhall.base import constants
 from hollowhall.record import Record
-from hollowhall.record.charter import check_job, newest
+from hollowhall.record.charter import check_job, required_level
 
 ROW = {"weight": 1.0, "limit": 0, "urgency": 5}
 
@@ -16,14 +16,14 @@
 
     def do(self, *events, ms=0):
         stamp = max(self.last + 1, (1000 + ms) << constants.LOGICAL_BITS)
-        return self.enact(op="turn", d={"e": 1, "c": 1, "s": stamp, "v": list(events)}).value
+        return self.apply_entry(op="turn", d={"e": 1, "c": 1, "s": stamp, "v": list(events)}).value
 
 
-def made(*, steps, workers=3, room=(8000, 8000, 4), rows=None, **job):
+def record_with_job(*, steps, workers=3, room=(8000, 8000, 4), rows=None, **job):
     record = Played()
     for level in (1, 2):
-        record.enact(op="level", d=level)
-    record.enact(op="edit", d={"base": 1, "rows": rows or {"q": ROW}, "whole": True})
+        record.apply_entry(op="level", d=level)
+    record.apply_entry(op="edit", d={"base": 1, "rows": rows or {"q": ROW}, "whole": True})
     for index in range(workers):
         record.do(
             [
@@ -48,25 +48,25 @@
 
 
 def runs(record):
-    return sorted(record.legs)
+    return sorted(record.attempts)
 
 
 def test_a_gang_starts_whole_or_not_at_all():
-    record = made(steps=[step(tasks=3, gang=True, room={"cores": 8000})])
+    record = record_with_job(steps=[step(tasks=3, gang=True, room={"cores": 8000})])
     assert record.do(["gang", "j", "0.0", ["w0", "w1", "w1"]])[0] == ["no", "room"]
-    assert not record.legs and all(worker.used == [0, 0, 0] for worker in record.workers.values())
+    assert not record.attempts and all(worker.used == [0, 0, 0] for worker in record.workers.values())
     assert record.do(["grant", "j/0.0/0", "w0"])[0] == ["no", "gang"]
     assert record.do(["gang", "j", "0.0", ["w0", "w1"]])[0] == ["no", "gone"]
     before = record.last
     assert record.do(["gang", "j", "0.0", ["w0", "w1", "w2"]])[0][0] == "ok"
-    assert record.last - before >= 3 and len(record.legs) == 3  # one stamp per member
-    assert {attempt.no for attempt in record.legs.values()} == {1} and len(
-        {attempt.gang for attempt in record.legs.values()}
+    assert record.last - before >= 3 and len(record.attempts) == 3  # one stamp per member
+    assert {attempt.no for attempt in record.attempts.values()} == {1} and len(
+        {attempt.gang for attempt in record.attempts.values()}
     ) == 1
 
 
 def test_one_good_end_is_the_end_of_all_and_room_goes_with_each():
-    record = made(steps=[step(tasks=2, gang=True), step("0.1", after=["0.0"])])
+    record = record_with_job(steps=[step(tasks=2, gang=True), step("0.1", after=["0.0"])])
     record.do(["gang", "j", "0.0", ["w0", "w1"]])
     first, second = runs(record)
     record.do(["end", first, "ok", ""])
@@ -79,7 +79,7 @@
 
 
 def test_a_gang_fails_once_an_attempt_and_waits_for_its_last_member():
-    record = made(steps=[step(tasks=3, gang=True, maxFailures=2)])
+    record = record_with_job(steps=[step(tasks=3, gang=True, maxFailures=2)])
     for failures in (1, 2):
         assert record.do(["gang", "j", "0.0", ["w0", "w1", "w2"]])[0][0] == "ok"
         members = runs(record)
@@ -92,7 +92,7 @@
 
 
 def test_checkpoints_go_to_every_member_and_to_the_next_attempt():
-    record = made(steps=[step(tasks=2, gang=True, saves=True)])
+    record = record_with_job(steps=[step(tasks=2, gang=True, saves=True)])
     record.do(["gang", "j", "0.0", ["w0", "w1"]])
     first, second = runs(record)
     record.do(["lost", "w0", "1", {first: "half"}])
@@ -100,11 +100,11 @@
     tasks = record.jobs["j"].tasks.values()
     assert {task.saved for task in tasks} == {"older"} and {task.state for task in tasks} == {"ready"}
     record.do(["gang", "j", "0.0", ["w1", "w2"]])
-    assert {attempt.no for attempt in record.legs.values()} == {2}
+    assert {attempt.no for attempt in record.attempts.values()} == {2}
 
 
 def test_a_copy_runs_beside_and_the_first_good_end_counts():
-    record = made(steps=[step(copies=True, maxFailures=3)])
+    record = record_with_job(steps=[step(copies=True, maxFailures=3)])
     record.do(["grant", "j/0.0/0", "w0"])
     assert record.do(["copy", "j/0.0/0", "w0"])[0] == ["no", "spread"]
     assert record.do(["copy", "j/0.0/0", "w1"])[0][0] == "ok"
@@ -115,21 +115,21 @@
     assert record.do(["copy", "j/0.0/0", "w2"])[0][0] == "ok"
     third = runs(record)[-1]
     record.do(["end", second, "ok", ""])
-    assert task.state == "done" and record.legs[third].stop == "copy" and record.jobs["j"].state == "done"
-    assert record.do(["end", third, "ok", ""])[0] == ["ok", third] and not record.legs
+    assert task.state == "done" and record.attempts[third].stop == "copy" and record.jobs["j"].state == "done"
+    assert record.do(["end", third, "ok", ""])[0] == ["ok", third] and not record.attempts
 
 
 def test_no_copy_where_the_step_does_not_allow_it():
-    record = made(steps=[step()])
+    record = record_with_job(steps=[step()])
     record.do(["grant", "j/0.0/0", "w0"])
     assert record.do(["copy", "j/0.0/0", "w1"])[0][0] == "no"
 
 
 def test_a_task_that_runs_for_ever_starts_again_however_it_ends():
-    record = made(steps=[step(forever=True, maxFailures=1)], standing=True)
+    record = record_with_job(steps=[step(forever=True, maxFailures=1)], standing=True)
     for number, how in enumerate(("ok", "bad", "bad", "lost", "stopped"), 1):
         assert record.do(["grant", "j/0.0/0", "w0"])[0][0] == "ok"
-        assert record.legs[runs(record)[0]].no == number
+        assert record.attempts[runs(record)[0]].no == number
         record.do(["end", runs(record)[0], how, ""])
         assert record.jobs["j"].tasks["j/0.0/0"].state == "ready" and record.jobs["j"].state == "open"
 
@@ -139,12 +139,12 @@
     [({"label": "b"}, "w0", "kind"), ({"label": "r1"}, "w0", "kind"), ({"label": "r1"}, "w1", "")],
 )
 def test_a_label_is_looked_at_when_a_start_is_granted(more, worker, why):
-    record = made(steps=[step(**more)])
+    record = record_with_job(steps=[step(**more)])
     assert record.do(["grant", "j/0.0/0", worker])[0][0 if not why else 1] == (why or "ok")
 
 
 def test_an_evacuated_zone_takes_no_starts_until_that_is_taken_back():
-    record = made(steps=[step(tasks=2, gang=True)])
+    record = record_with_job(steps=[step(tasks=2, gang=True)])
     record.do(["evacuate", "z0", True])
     assert record.do(["gang", "j", "0.0", ["w0", "w1"]])[0] == ["no", "evacuated"]
     record.do(["evacuate", "z0", False])
@@ -152,25 +152,25 @@
 
 
 def test_a_step_has_a_due_time_of_its_own():
-    record = made(steps=[step(notBefore=5000)])
+    record = record_with_job(steps=[step(notBefore=5000)])
     assert record.do(["grant", "j/0.0/0", "w0"])[0] == ["no", "due"]
     assert record.do(["grant", "j/0.0/0", "w0"], ms=5000)[0][0] == "ok"
 
 
 def test_the_lanes_kind_holds_over_the_steps():
-    record = made(steps=[step()], rows={"q": ROW | {"kind": "other"}})
+    record = record_with_job(steps=[step()], rows={"q": ROW | {"kind": "other"}})
     assert record.do(["grant", "j/0.0/0", "w0"])[0] == ["no", "kind"]
 
 
 def edit(record, chosen, on, mark, rows=None):
-    return record.enact(
+    return record.apply_entry(
         op="edit",
         d={"chosen": chosen, "on": on, "mark": mark, "kinds": {}, "notes": {}, "rows": rows or {"q": ROW}},
     )
 
 
 def test_an_operators_own_versions_race_resend_and_never_go_back():
-    record = made(steps=[step()])
+    record = record_with_job(steps=[step()])
     assert edit(record, 5, 0, "a").ok and edit(record, 5, 0, "a").ok
     assert (
         not edit(record, 5, 0, "b").ok and not edit(record, 4, 5, "c").ok and not edit(record, 9, 3, "d").ok
@@ -184,7 +184,7 @@
 
 
 def test_a_picture_holds_all_of_it():
-    record = made(steps=[step(tasks=2, gang=True, maxFailures=3), step("0.1", copies=True)])
+    record = record_with_job(steps=[step(tasks=2, gang=True, maxFailures=3), step("0.1", copies=True)])
     record.do(
         ["gang", "j", "0.0", ["w0", "w1"]],
         ["grant", "j/0.1/0", "w2"],
@@ -203,5 +203,5 @@
 def test_jobs_of_older_levels_keep_their_digest_and_newer_ones_say_so():
     plain, plain_digest = check_job({"lane": "q", "steps": [step()]})
     with_defaults, other_digest = check_job({"lane": "q", "steps": [step(gang=False, near="", notBefore=0)]})
-    assert plain_digest == other_digest and newest(plain) == 0 and newest(with_defaults) == 0
-    assert newest(check_job({"lane": "q", "steps": [step(gang=True)]})[0]) == 2
+    assert plain_digest == other_digest and required_level(plain) == 0 and required_level(with_defaults) == 0
+    assert required_level(check_job({"lane": "q", "steps": [step(gang=True)]})[0]) == 2
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -149,10 +149,10 @@
 class OddRecord(Record):
     """Allows a task one failure more than its step does."""
 
-    def task_bad(self, *, job, task, worker, stamp, why):
+    def task_failed(self, *, job, task, worker, stamp, why):
         spec = job.steps[task.step].spec
         job.steps[task.step].spec = spec | {"maxFailures": spec["maxFailures"] + 1}
-        super().task_bad(job=job, task=task, worker=worker, stamp=stamp, why=why)
+        super().task_failed(job=job, task=task, worker=worker, stamp=stamp, why=why)
         job.steps[task.step].spec = spec
 
 
--- a/tests/test_loaded_record.py
+++ b/tests/test_loaded_record.py
@@ -33,7 +33,7 @@
 
     def __init__(self, *, record, seed):
         self.record, self.draw, self.entries, self.jobs_sent = record, random.Random(seed), [], 0
-        record.enact(op="level", d=constants.LEVEL)
+        record.apply_entry(op="level", d=constants.LEVEL)
         self.configure()
         for index in range(6):
             self.turn(
@@ -54,7 +54,7 @@
 
     def apply(self, op, body):
         self.entries.append((op, body))
-        self.record.enact(op=op, d=body)
+        self.record.apply_entry(op=op, d=body)
 
     def turn(self, events):
         stamp = max(
@@ -101,9 +101,9 @@
         return [["grant", task, self.draw.choice(workers)]]
 
     def end(self):
-        if not self.record.legs:
+        if not self.record.attempts:
             return []
-        run = self.draw.choice(sorted(self.record.legs))
+        run = self.draw.choice(sorted(self.record.attempts))
         saved = self.draw.choice(["", "checkpoint"])
         return [["end", run, self.draw.choice(ENDS), "why", saved]]
 
@@ -132,8 +132,8 @@
             ["flaky", worker, (record.last >> constants.LOGICAL_BITS) + 300],
             ["forget"],
         ]
-        if record.legs:
-            events.append(["stop", draw.choice(sorted(record.legs)), draw.choice(["room", "limit"])])
+        if record.attempts:
+            events.append(["stop", draw.choice(sorted(record.attempts)), draw.choice(["room", "limit"])])
         if running and record.workers:
             events.append(["copy", draw.choice(running), draw.choice(sorted(record.workers))])
         if record.jobs:
@@ -146,7 +146,7 @@
     ready = {key: sorted(tasks) for key, tasks in record.ready.items()}
     used = {worker_id: (worker.used, sorted(worker.runs)) for worker_id, worker in record.workers.items()}
     live = {task.id: task.live for job in record.jobs.values() for task in job.tasks.values()}
-    running = {queue: count for queue, count in record.lane_run.items() if count}
+    running = {queue: count for queue, count in record.running_by_queue.items() if count}
     return record.digest(), record.sum, ready, used, live, running
 
 
@@ -171,7 +171,7 @@
     loaded = Record()
     loaded.load(snapshot)
     for op, body in source.entries[begun:]:
-        loaded.enact(op=op, d=body)
+        loaded.apply_entry(op=op, d=body)
     return state_of(source.record), state_of(loaded)
 
 
--- a/tests/test_lost.py
+++ b/tests/test_lost.py
@@ -20,7 +20,7 @@
 class RestartsLostAtOnce(Record):
     """Starts a lost worker's tasks elsewhere, even if the worker does not stop them."""
 
-    def restarts(self, *, worker, attempt):
+    def may_restart(self, *, worker, attempt):
         return True
 
 
--- a/tests/test_older_data.py
+++ b/tests/test_older_data.py
@@ -47,7 +47,7 @@
     for _, _, body in entries:
         entry = unpack(body)
         if entry[0] in ("turn", "edit", "level"):
-            record.enact(op=entry[0], d=entry[1])
+            record.apply_entry(op=entry[0], d=entry[1])
     return record, hard, entries[-1][0] if entries else snapshot["i"]
 
 
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -2,7 +2,7 @@
 each is for, and what it must not do."""
 
 from test_backfill import busy, gang
-from test_level_two import made, step
+from test_level_two import record_with_job, step
 
 from hollowhall.base import constants
 from hollowhall.desk.aims import Aims, aim_ms, tails_ms
@@ -27,7 +27,7 @@
 
 def queue_of_three():
     """One worker, and jobs j, b and c that arrived at 0, 1.2 and 2.9 s, each with an aim of 1.5 s."""
-    record = made(steps=[WIDE], workers=1, rows={"q": ROW})
+    record = record_with_job(steps=[WIDE], workers=1, rows={"q": ROW})
     submit(record, "b", ms=1200)
     submit(record, "c", ms=2900)
     return record
@@ -50,12 +50,12 @@
     assert first_started(record, at=4400) == [
         "b"
     ]  # by now c is late as well, and j is beyond three times its aim
-    record = made(steps=[WIDE], workers=1, rows={"q": ROW})
+    record = record_with_job(steps=[WIDE], workers=1, rows={"q": ROW})
     assert first_started(record, at=60_000) == ["j"]
 
 
 def test_a_queue_that_names_no_aim_keeps_the_oldest_first():
-    record = made(steps=[WIDE], workers=1)
+    record = record_with_job(steps=[WIDE], workers=1)
     submit(record, "b", ms=1200)
     assert first_started(record, at=9000) == ["j"]
 
@@ -74,7 +74,7 @@
     assert tails_ms(spec=spec) == {"a": 1500, "b": 3000, "c": 500}
     assert aim_ms(tails=tails_ms(spec=spec), row=ROW) == 1.5 * 3000 + 600
     assert aim_ms(tails={"a": 1}, row={}) == 0
-    record = made(steps=[WIDE], rows={"q": ROW})
+    record = record_with_job(steps=[WIDE], rows={"q": ROW})
     job_aims = aims(record)
     standings = [
         job_aims.standing(job=record.jobs["j"], step="0.0", now=1000 + ms) for ms in (0, 900, 901, 3900, 3901)
@@ -90,7 +90,7 @@
 
 
 def two_queues(workers=10):
-    record = made(steps=[step()], workers=workers, rows={"u": URGENT, "q": ROW})
+    record = record_with_job(steps=[step()], workers=workers, rows={"u": URGENT, "q": ROW})
     spec = check_job({"lane": "q", "steps": [step(tasks=workers * 8)]})
     record.do(["job", "many", *spec])
     return record
@@ -126,9 +126,9 @@
 
     place = Place()
     place.open_use()
-    place.record.lane_used = {"u": [5000, 0, 0]}
+    place.record.used_by_queue = {"u": [5000, 0, 0]}
     place.note_use(ms=1000)
-    place.record.lane_used = {"u": [1000, 0, 0]}
+    place.record.used_by_queue = {"u": [1000, 0, 0]}
     for n in range(1, constants.USAGE_SAMPLES_KEPT + 1):
         assert place.peaks()["u"] == [5000, 0, 0]
         place.note_use(ms=1000 + n * constants.USAGE_SAMPLE_PERIOD_MS)
@@ -139,7 +139,7 @@
     """The starts of a short task while two workers are held back for a gang that needs them in `wanted`
     ms."""
     rows = {"q": ROW, "s": ROW | {"urgency": urgency}}
-    record = made(steps=[gang()], workers=2, rows=rows)
+    record = record_with_job(steps=[gang()], workers=2, rows=rows)
     busy(record, "w0")
     record.do(["job", "short", *check_job({"lane": "s", "steps": [step()]})])
     step_key = ("j", "0.0")
@@ -166,7 +166,7 @@
 
 
 def test_when_a_gang_would_have_had_its_room_is_forgotten_with_it():
-    record = made(steps=[gang()], workers=2)
+    record = record_with_job(steps=[gang()], workers=2)
     until = {("gone", "0.0"): 9000, ("j", "0.0"): 9000}
     Round(rec=record, now=1100, most=9, kept_until=until).run()
     assert list(until) == [("j", "0.0")]
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace as Bag
 
 import pytest
-from test_level_two import ROW, made, runs, step
+from test_level_two import ROW, record_with_job, runs, step
 
 from hollowhall.base import constants
 from hollowhall.desk.leaving import LeavingMixin
@@ -53,7 +53,7 @@
 
 
 def test_an_end_is_acknowledged_once_it_is_recorded_or_void():
-    desk = Desk(made(steps=[step(tasks=2, maxFailures=9)]))
+    desk = Desk(record_with_job(steps=[step(tasks=2, maxFailures=9)]))
     desk.record.do(["grant", "j/0.0/0", "w0"], ["grant", "j/0.0/1", "w0"])
     first_run, second_run = runs(desk.record)
     ends = desk.report(
@@ -72,7 +72,7 @@
 
 
 def test_what_the_record_does_not_know_is_stopped_and_checkpoints_stay():
-    desk = Desk(made(steps=[step(saves=True)]))
+    desk = Desk(record_with_job(steps=[step(saves=True)]))
     desk.record.do(["grant", "j/0.0/0", "w0"])
     (run,) = runs(desk.record)
     desk.report("w0", named=[("j/0.0/0", 1, "cp1", 10), ("j/0.0/0", 7, "", 1)])
@@ -85,7 +85,7 @@
 
 
 def test_an_attempt_that_never_began_ends_only_when_it_cannot_begin_any_more():
-    desk = Desk(made(steps=[step()]))
+    desk = Desk(record_with_job(steps=[step()]))
     desk.record.do(["grant", "j/0.0/0", "w0"])
     (run,) = runs(desk.record)
     desk.report("w0")
@@ -108,7 +108,7 @@
 
 def busy(workers=3, tasks=6, **kw):
     """A scheduler whose workers run an equal part of one step's tasks each."""
-    desk = Desk(made(steps=[step(tasks=tasks, maxFailures=9, **kw)], workers=workers))
+    desk = Desk(record_with_job(steps=[step(tasks=tasks, maxFailures=9, **kw)], workers=workers))
     for i in range(tasks):
         desk.record.do(["grant", f"j/0.0/{i}", f"w{i % workers}"])
     return desk
@@ -132,7 +132,7 @@
     pass_time(desk, {"w0": 30, "w1": 30, "w2": 4}, to=3.0)
     assert list(desk.slow) == ["w2"] and desk.said[0][0] == 419
     assert {event[0] for event in desk.events} == {"stop"}
-    assert {desk.record.legs[event[1]].worker for event in desk.events} == {"w2"}
+    assert {desk.record.attempts[event[1]].worker for event in desk.events} == {"w2"}
     desk.t += constants.SLOW_WORKER_ASIDE_S
     desk.sessions.clear()
     desk.look_at_pace(now=desk.t, ms=desk.clock_ms())
@@ -173,7 +173,9 @@
 def urgent(*, saves=True, **kw):
     """Less urgent work fills all workers; then an urgent task arrives."""
     desk = Desk(
-        made(steps=[step(tasks=24, saves=saves)], workers=3, rows={"q": ROW, "hot": ROW | {"urgency": 9}})
+        record_with_job(
+            steps=[step(tasks=24, saves=saves)], workers=3, rows={"q": ROW, "hot": ROW | {"urgency": 9}}
+        )
     )
     for i in range(24):
         assert desk.record.do(["grant", f"j/0.0/{i}", f"w{i % 3}"])[0][0] == "ok"
@@ -192,7 +194,7 @@
     assert placement_events(desk, 1100) == []
     out = placement_events(desk, 1400)
     assert [event[0] for event in out] == ["stop", "stop"]
-    assert len({desk.record.legs[event[1]].worker for event in out}) == 1
+    assert len({desk.record.attempts[event[1]].worker for event in out}) == 1
     assert placement_events(desk, 1500) == []  # the stopped attempts have not ended yet: no more are stopped
     desk.record.do(*out, ms=1500)
     desk.record.do(*[["end", event[1], "stopped", "", "cp"] for event in out], ms=1500)
@@ -208,7 +210,7 @@
 def gang(tight, near_full, estimate=1000):
     """Four workers in two racks, and a gang of four that fits into one empty rack. near_full: one worker of
     each rack is full."""
-    record = made(
+    record = record_with_job(
         steps=[step(tasks=4, gang=True, tight=tight, estimateMs=estimate, room={"cores": 4000})], workers=4
     )
     if near_full:
@@ -238,7 +240,7 @@
 
 
 def test_a_gang_that_no_fleet_could_hold_says_so_and_keeps_nobody():
-    record = made(steps=[step(tasks=9, gang=True, room={"cores": 4000})], workers=4)
+    record = record_with_job(steps=[step(tasks=9, gang=True, room={"cores": 4000})], workers=4)
     placement_round = round_of(record, 9000)
     assert (
         placement_round.gangs == []
@@ -248,7 +250,7 @@
 
 
 def test_a_task_waits_for_its_rack_as_long_as_running_far_away_would_cost():
-    record = made(steps=[step(near="r1", room={"cores": 8000})], workers=2)
+    record = record_with_job(steps=[step(near="r1", room={"cores": 8000})], workers=2)
     spec, digest = check_job({"lane": "q", "steps": [step(room={"cores": 8000})]})
     record.do(["job", "f", spec, digest], ["grant", "f/0.0/0", "w1"])
     usual = {"q": 1000}
--- a/tests/test_pace_gangs.py
+++ b/tests/test_pace_gangs.py
@@ -1,7 +1,7 @@
 """Progress and room of gangs: a member that has finished its part stands still until all have, which is no
 evidence against its worker; room for a gang is made on the workers held back for it."""
 
-from test_level_two import ROW, made, step
+from test_level_two import ROW, record_with_job, step
 from test_pace import Desk, placement_events, urgent
 
 from hollowhall.base import constants
@@ -9,7 +9,7 @@
 
 
 def test_a_gangs_member_that_is_through_says_nothing_of_its_worker():
-    desk = Desk(made(steps=[step(tasks=6, gang=True, room={"cores": 4000})], workers=3))
+    desk = Desk(record_with_job(steps=[step(tasks=6, gang=True, room={"cores": 4000})], workers=3))
     desk.record.do(["gang", "j", "0.0", ["w0", "w0", "w1", "w1", "w2", "w2"]])
     while desk.t < 8:
         for worker_id, worker in desk.record.workers.items():
@@ -19,13 +19,13 @@
             )
         desk.look_at_pace(now=desk.t, ms=desk.clock_ms())
         desk.t += 0.25
-    assert not [event for event in desk.events if desk.record.legs[event[1]].worker == "w0"]
+    assert not [event for event in desk.events if desk.record.attempts[event[1]].worker == "w0"]
     assert "w0" not in desk.slow
 
 
 def test_a_gang_keeps_all_it_needs_or_nothing_and_what_is_less_urgent_makes_room():
     desk = Desk(
-        made(
+        record_with_job(
             steps=[step(tasks=8, saves=True, room={"cores": 8000})],
             workers=8,
             rows={"q": ROW, "hot": ROW | {"urgency": 9}},
@@ -40,7 +40,7 @@
     stops = placement_events(desk, 1100 + constants.GANG_STARVATION_MS)
     assert sorted(set(desk.kept.values())) == [("a", "0.0")] and len(desk.kept) == 4
     assert {event[0] for event in stops} == {"stop"}
-    assert {desk.record.legs[event[1]].worker for event in stops} == set(desk.kept)
+    assert {desk.record.attempts[event[1]].worker for event in stops} == set(desk.kept)
     desk.record.do(*stops, ms=1600)
     desk.record.do(*[["end", event[1], "stopped", "", "cp"] for event in stops], ms=1600)
     gangs = [
@@ -54,7 +54,7 @@
     assert placement_events(desk, 1100) == []
     stops = placement_events(desk, 1100 + constants.GANG_STARVATION_MS)
     assert [event[0] for event in stops] == ["stop", "stop"]
-    assert {desk.record.legs[event[1]].worker for event in stops} == set(desk.kept)
+    assert {desk.record.attempts[event[1]].worker for event in stops} == set(desk.kept)
     desk.record.do(*stops, ms=1600)
     assert (
         placement_events(desk, 1700 + constants.GANG_STARVATION_MS) == []
--- a/tests/test_pace_leaving.py
+++ b/tests/test_pace_leaving.py
@@ -1,7 +1,7 @@
 """Attempts on workers that leave, and attempts that are being stopped."""
 
 import pytest
-from test_level_two import made, step
+from test_level_two import record_with_job, step
 from test_pace import Desk, busy, pass_time
 
 
@@ -10,7 +10,7 @@
     [(90, False, 2000, False), (10, False, 2000, True), (10, True, 3000, False), (10, True, 1300, True)],
 )
 def test_what_cannot_end_before_its_worker_leaves_is_moved_in_time(percent, saves, left, stopped):
-    desk = Desk(made(steps=[step(saves=saves)]))
+    desk = Desk(record_with_job(steps=[step(saves=saves)]))
     desk.record.do(["grant", "j/0.0/0", "w0"])
     desk.report("w0", named=[("j/0.0/0", 1, "", 0)])
     desk.t += 1.0
--- a/tests/test_pace_silence.py
+++ b/tests/test_pace_silence.py
@@ -50,5 +50,5 @@
 def test_a_gang_across_racks_does_not_lengthen_what_its_queue_is_taken_to_need():
     desk = Desk(made(steps=[step(tasks=2, gang=True, tight=True, room={"cores": 8000})], workers=2))
     desk.record.do(["gang", "j", "0.0", ["w0", "w1"]])
-    first = desk.record.legs[runs(desk.record)[0]]
+    first = desk.record.attempts[runs(desk.record)[0]]
     assert desk.stretch(first) == desk.settings.far_times
--- a/tests/test_pictures.py
+++ b/tests/test_pictures.py
@@ -54,14 +54,14 @@
             key = rng.choice(sorted(record.ready))
             task = next(iter(record.ready[key].values()))
             record.ev_grant(stamp, task.id, rng.choice(sorted(record.workers)))
-        elif draw < 0.8 and record.legs:
+        elif draw < 0.8 and record.attempts:
             record.ev_end(
-                stamp, rng.choice(sorted(record.legs)), rng.choice(["ok", "ok", "bad", "stopped"]), ""
+                stamp, rng.choice(sorted(record.attempts)), rng.choice(["ok", "ok", "bad", "stopped"]), ""
             )
         elif draw < 0.85 and record.jobs:
             record.ev_cancel(stamp, rng.choice(sorted(record.jobs)))
-        elif draw < 0.9 and record.legs:
-            record.ev_stop(stamp, rng.choice(sorted(record.legs)), "limit")
+        elif draw < 0.9 and record.attempts:
+            record.ev_stop(stamp, rng.choice(sorted(record.attempts)), "limit")
         elif draw < 0.95:
             spec, digest = check_job(SHAPES["cymylau"].mix[0][0](rng))
             record.ev_job(stamp, f"late-{stamp}", spec, digest)
@@ -212,9 +212,9 @@
             assert record.lines == loaded.lines and {
                 k for x in record.lines.values() for ks in x.values() for _, *k in ks for k in [tuple(k)]
             } == set(record.ready)
-            used = {a: u for a, u in record.lane_used.items() if any(u)}
-            assert used == {a: u for a, u in loaded.lane_used.items() if any(u)}
-            assert {a: n for a, n in record.lane_run.items() if n} == loaded.lane_run
+            used = {a: u for a, u in record.used_by_queue.items() if any(u)}
+            assert used == {a: u for a, u in loaded.used_by_queue.items() if any(u)}
+            assert {a: n for a, n in record.running_by_queue.items() if n} == loaded.running_by_queue
 
 
 def test_a_tail_asked_for_while_the_snapshot_is_not_on_disk_yet_waits():
--- a/tests/test_place.py
+++ b/tests/test_place.py
@@ -106,10 +106,10 @@
     table = Table()
     table.job("j", backoffMs=0)
     _, runs = table.turn()
-    first_worker = table.rec.legs[runs["j/s/0"]].worker
+    first_worker = table.rec.attempts[runs["j/s/0"]].worker
     table.end(runs["j/s/0"], "bad")
     _, runs = table.turn()
-    assert table.rec.legs[runs["j/s/0"]].worker != first_worker
+    assert table.rec.attempts[runs["j/s/0"]].worker != first_worker
 
 
 def test_a_worker_on_probation_gets_nothing_until_it_is_over():
--- a/tests/test_place_costs.py
+++ b/tests/test_place_costs.py
@@ -2,7 +2,7 @@
 that waits, not for each job, gang or preferred rack."""
 
 import pytest
-from test_level_two import ROW, made, step
+from test_level_two import ROW, record_with_job, step
 
 from hollowhall.base import constants
 from hollowhall.desk import fit, gather
@@ -32,7 +32,9 @@
 def crowd(*, ms, usual=0, idle=0, far=2.0, racks=2, **kw):
     """A round in which all but `idle` workers are full and JOBS jobs wait, each preferring one of `racks`
     racks."""
-    record = made(steps=[step(tasks=WORKERS - idle, room={"cores": 8000})], workers=WORKERS, rows={"q": ROW})
+    record = record_with_job(
+        steps=[step(tasks=WORKERS - idle, room={"cores": 8000})], workers=WORKERS, rows={"q": ROW}
+    )
     record.do(*[["grant", f"j/0.0/{n}", f"w{n}"] for n in range(WORKERS - idle)])
     for n in range(JOBS):
         record.do(
--- a/tests/test_probation.py
+++ b/tests/test_probation.py
@@ -3,7 +3,7 @@
 
 import pytest
 from test_desk_edges import Carer
-from test_level_two import made, step
+from test_level_two import record_with_job, step
 
 from hollowhall.base import constants
 from hollowhall.desk.health import ASIDE, TRIAL
@@ -29,7 +29,7 @@
 def test_the_only_workers_with_a_label_are_tried_again_once_they_gave_no_more_sign():
     # guards against a breach of rule LOST: both stood still four times, then got no tasks for 24 s while
     # accepted jobs waited for them and most of the room was free
-    desk = stood_still(made(steps=[step(label="r1")], workers=20), "w1", "w3")
+    desk = stood_still(record_with_job(steps=[step(label="r1")], workers=20), "w1", "w3")
     for worker_id in [
         worker.id
         for worker in desk.record.workers.values()
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize("busy, again", [(3, False), (1, True)])
 def test_others_are_no_reason_while_half_of_the_kind_stands_idle(busy, again):
-    desk = stood_still(made(steps=[step(room={"cores": 8000})], workers=5), "w0")
+    desk = stood_still(record_with_job(steps=[step(room={"cores": 8000})], workers=5), "w0")
     full = check_job({"lane": "q", "steps": [step(tasks=busy, room={"cores": 8000})]})
     desk.record.do(
         ["job", "f", *full], *[["grant", f"f/0.0/{number}", f"w{number + 1}"] for number in range(busy)]
--- a/tests/test_queue_places.py
+++ b/tests/test_queue_places.py
@@ -26,7 +26,7 @@
         store.restarted()
     store.end("j/0.0/0")
     assert store.queue() == "b" and store.grants() == ["j/0.1/0", "j/0.1/1"]
-    assert store.record.lane_run == {"a": 0, "b": 2} or store.record.lane_run == {"b": 2}
+    assert store.record.running_by_queue == {"a": 0, "b": 2} or store.record.running_by_queue == {"b": 2}
 
 
 def test_below_the_level_a_job_follows_the_name_alone():
@@ -117,8 +117,8 @@
     assert len(store.grants()) == 1
     for restart in (False, True):
         record = (store.restarted() if restart else store).record
-        assert {queue: count for queue, count in record.lane_run.items() if count} == {"b": 3}
-        assert {queue: count for queue, count in record.lane_used.items() if any(count)} == {
+        assert {queue: count for queue, count in record.running_by_queue.items() if count} == {"b": 3}
+        assert {queue: count for queue, count in record.used_by_queue.items() if any(count)} == {
             "b": [3000, 0, 0]
         }
 
@@ -138,7 +138,7 @@
     store.job(steps=[step(kind="svc", tasks=2, gang=True)])
     store.do(["gang", "j", "0.0", ["w0", "w1"]])
     store.configure(b=row(HERE, limit=2))
-    assert store.record.lane_run["b"] == 2
+    assert store.record.running_by_queue["b"] == 2
     store.end("j/0.0/0", "lost")
     store.end("j/0.0/1", "lost")
     assert store.do(["gang", "j", "0.0", ["w0", "w1"]])[0][0] == "ok"
@@ -163,7 +163,7 @@
     store.do(["cancel", "j"])
     store.configure(b=row(HERE))
     store.end("j/0.0/0", "stopped")
-    assert store.record.jobs["j"].state == "cancelled" and store.record.lane_run["b"] == 0
+    assert store.record.jobs["j"].state == "cancelled" and store.record.running_by_queue["b"] == 0
 
 
 def test_a_snapshot_under_way_keeps_a_job_as_it_was():
@@ -188,10 +188,12 @@
     store = Store(a=row(HERE))
     rows = {"a": row(HERE), "b": row(HERE)}
     version = store.record.charter["version"]
-    whole = store.record.enact(op="edit", d={"base": version, "rows": rows, "whole": True})
-    change = store.record.enact(op="edit", d={"base": version, "rows": {"b": row(HERE)}, "whole": False})
+    whole = store.record.apply_entry(op="edit", d={"base": version, "rows": rows, "whole": True})
+    change = store.record.apply_entry(
+        op="edit", d={"base": version, "rows": {"b": row(HERE)}, "whole": False}
+    )
     assert isinstance(whole, problems.BadInput) and isinstance(change, problems.BadInput)
     assert store.record.charter["version"] == version and list(store.record.charter["rows"]) == ["a"]
-    assert store.record.enact(
+    assert store.record.apply_entry(
         op="edit", d={"base": version, "rows": {"a": None, "b": row(HERE)}, "whole": False}
     ).ok
--- a/tests/test_queue_services.py
+++ b/tests/test_queue_services.py
@@ -2,7 +2,7 @@
 service is full, when jobs of both were submitted with the same requirements and the same service."""
 
 import pytest
-from test_level_two import ROW, made, step
+from test_level_two import ROW, record_with_job, step
 
 from hollowhall.base.constants import LOGICAL_BITS
 from hollowhall.desk.place import Round
@@ -15,14 +15,16 @@
     """(starts, round) of a placement round. Job `j` of queue q is for a full service; the queue of job
     `moved` was moved to the service `other` after that job was submitted for the same service as j."""
     urgent, moved = ROW | {"urgency": 9, "kind": "k"}, ROW | {"kind": "k"}
-    record = made(steps=[step(room={"cores": 8000}, tasks=9)], workers=2, rows={"q": urgent, "moved": moved})
+    record = record_with_job(
+        steps=[step(room={"cores": 8000}, tasks=9)], workers=2, rows={"q": urgent, "moved": moved}
+    )
     record.do(["job", "moved", *check_job({"lane": "moved", "steps": [step(room={"cores": 8000})]})])
     for n in range(other_workers):
         record.do(["worker", f"o{n}", "1", "other", "z", "r", [8000, 8000, 4], True, []])
     record.do(*[["grant", f"j/0.0/{n}", f"w{n}"] for n in range(2)])
     version = record.charter["version"]
     rows = {"moved": moved | {"kind": "other"}}
-    assert record.enact(op="edit", d={"base": version, "rows": rows, "whole": False}).ok
+    assert record.apply_entry(op="edit", d={"base": version, "rows": rows, "whole": False}).ok
     work = Round(rec=record, now=(record.last >> LOGICAL_BITS) + SOON, most=9)
     return work.run(), work
 
--- a/tests/test_reported_ends.py
+++ b/tests/test_reported_ends.py
@@ -6,7 +6,7 @@
 from types import SimpleNamespace
 
 import pytest
-from test_level_two import made, runs, step
+from test_level_two import record_with_job, runs, step
 
 from hollowhall.base.problems import NotPrimary, NotSynced, Unsure
 from hollowhall.base.slab import PendingRequests
@@ -85,7 +85,7 @@
 
 def primary_with_attempt(*, steps, leaves=True, **kw):
     """A primary that has heard w0 for a while, with a started attempt there; w0 is leaving."""
-    desk = Desk(made(steps=steps, **kw))
+    desk = Desk(record_with_job(steps=steps, **kw))
     desk.record.do(["grant", "j/0.0/0", "w0"])
     if leaves:
         desk.record.do(["leave", "w0", "1"])
@@ -162,7 +162,7 @@
 def test_a_start_is_not_told_again_while_its_attempt_is_being_ended_as_never_begun():
     # otherwise two runs at once: the evacuation that revoked it ended before the batch was applied
     async def scenario():
-        desk = Desk(made(steps=[step()]))
+        desk = Desk(record_with_job(steps=[step()]))
         desk.record.do(["grant", "j/0.0/0", "w0"], ["evacuate", "z0", True])
         desk.beat()
         desk.time_s += 3.0
@@ -174,7 +174,7 @@
         return desk, told
 
     desk, told = run_scenario(scenario)
-    assert told == [] and not desk.record.legs
+    assert told == [] and not desk.record.attempts
 
 
 def test_no_more_is_held_once_the_primary_has_lost_its_lease():
--- a/tests/test_reservations.py
+++ b/tests/test_reservations.py
@@ -113,7 +113,8 @@
         await asyncio.sleep(reserved_world.OPEN + 6 - world.loop.vt)
         record = reserved_world.primary(world).record
         attempts = [
-            (record.jobs[attempt.job].steps[attempt.step].spec, attempt) for attempt in record.legs.values()
+            (record.jobs[attempt.job].steps[attempt.step].spec, attempt)
+            for attempt in record.attempts.values()
         ]
         seen["fixed"] = sum(not spec.get("saves") for spec, _ in attempts)
         seen["all"] = len(attempts)
@@ -133,12 +134,12 @@
         client = world.requester(tag="long")
         await client.send(body=reserved_world.job("batch", 3000, tasks=48, estimateMs=1000))
         await asyncio.sleep(1)
-        seen["short"] = len(reserved_world.primary(world).record.legs)
+        seen["short"] = len(reserved_world.primary(world).record.attempts)
         await asyncio.sleep(8)
         await client.send(body=reserved_world.job("batch", 25_000, tasks=48, estimateMs=25_000))
         await asyncio.sleep(reserved_world.OPEN - 0.1 - world.loop.vt)
         seen["long"] = sum(
-            attempt.lane == "batch" for attempt in reserved_world.primary(world).record.legs.values()
+            attempt.lane == "batch" for attempt in reserved_world.primary(world).record.attempts.values()
         )
 
     world = reserved_world.play(17, steps=look, crowded=False)
--- a/tests/test_reservations_command.py
+++ b/tests/test_reservations_command.py
@@ -2,7 +2,7 @@
 
 from cleo.testers.command_tester import CommandTester
 
-from hollowhall.record.reservation_bodies import check_reservation, check_shorter
+from hollowhall.record.reservation_bodies import check_reduction, check_reservation
 from hollowhall.tools.operate import reservations
 
 VIEW = {
@@ -45,7 +45,7 @@
     assert (spec["fromMs"], spec["untilMs"], spec["room"]) == (5000, 1_003_500, [1, 0, 1])
     assert "night  waiting  4 x cores:1 gpus:1  gpu  zone z1  lanes team" in out
     _, ((method, _, body),), _ = run("shorten night --until 7000 --count 2")
-    assert method == "PATCH" and check_shorter(body) == {"untilMs": 7000, "count": 2}
+    assert method == "PATCH" and check_reduction(body) == {"untilMs": 7000, "count": 2}
     assert run("cancel night")[1] == [("DELETE", "/v1/reservations/night", None)]
     assert run("show night")[1] == [("GET", "/v1/reservations/night", None)]
     code, asked, out = run("list --lane team", answer={"reservations": [VIEW, VIEW]})
--- a/tests/test_reservations_record.py
+++ b/tests/test_reservations_record.py
@@ -10,17 +10,17 @@
 from hollowhall.base import constants
 from hollowhall.base.problems import Raised
 from hollowhall.record import Record
-from hollowhall.record.reservation_bodies import check_reservation, check_shorter
+from hollowhall.record.reservation_bodies import check_reduction, check_reservation
 
 T = 1000  # ms; first time of the record in these tests
 ROW = {"weight": 1.0, "limit": 0, "urgency": 5}
 
 
-def made(*, level=3, workers=4, gpus=8):
+def record_with_workers(*, level=3, workers=4, gpus=8):
     record = Played()
     for level_index in range(level):
-        record.enact(op="level", d=level_index + 1)
-    record.enact(op="edit", d={"base": 1, "rows": {"a": ROW, "b": ROW}, "whole": True})
+        record.apply_entry(op="level", d=level_index + 1)
+    record.apply_entry(op="edit", d={"base": 1, "rows": {"a": ROW, "b": ROW}, "whole": True})
     for index in range(workers):
         record.do(
             [
@@ -54,7 +54,7 @@
 
 
 def test_the_sum_of_what_overlaps_stays_within_the_share():
-    record = made()
+    record = record_with_workers()
     assert reserve(record, "x", count=10) == ["new", "confirmed"]
     assert reserve(record, "y", count=7) == ["no", "capacity", 6]
     assert reserve(record, "y", count=6) == ["new", "confirmed"]
@@ -78,20 +78,20 @@
     ],
 )
 def test_what_is_refused_says_why_and_leaves_nothing(kw, why):
-    record = made()
+    record = record_with_workers()
     assert reserve(record, "x", **kw)[:2] == ["no", why]
     assert record.reservations == {}
 
 
 def test_a_window_that_began_long_ago_is_past_and_one_just_begun_is_not():
-    record = made()
+    record = record_with_workers()
     record.do(["open"], ms=200_000)
     assert reserve(record, "x", fromMs=T + 100_000, untilMs=T + 10**6)[1] == "past"
     assert reserve(record, "x", fromMs=T + 190_000, untilMs=T + 10**6)[0] == "new"
 
 
 def test_a_shape_counts_by_whole_workers_and_zones_and_labels_by_theirs():
-    record = made()
+    record = record_with_workers()
     assert reserve(record, "x", 100, room={"cores": 0, "gpus": 5}, count=5) == ["no", "capacity", 4]
     assert reserve(record, "x", 100, room={"cores": 0, "gpus": 5}, count=4)[0] == "new"
     assert reserve(record, "y", 100, zone="z0", count=7) == ["no", "capacity", 6]
@@ -100,7 +100,7 @@
 
 
 def test_known_by_id_and_digest_and_released_stays_released():
-    record = made()
+    record = record_with_workers()
     assert reserve(record, "x")[0] == "new" and reserve(record, "x") == ["same", "confirmed"]
     assert reserve(record, "x", count=3) == ["other", "confirmed"]
     assert record.do(["release", "x"])[0] == ["ok", "released"] == record.do(["release", "x"])[0]
@@ -109,7 +109,7 @@
 
 
 def test_shortened_in_time_and_count_never_lengthened():
-    record = made()
+    record = record_with_workers()
     reserve(record, "x", count=16)
     assert record.do(["shorten", "x", T + 30_000, None])[0] == ["no", "larger", 0]
     assert record.do(["shorten", "x", None, 17])[0] == ["no", "larger", 0]
@@ -123,13 +123,13 @@
 
 
 def test_workers_that_leave_or_stand_in_an_evacuated_zone_carry_nothing_new():
-    record = made()
+    record = record_with_workers()
     record.do(["leave", "w0", "1"], ["evacuate", "z1", True])
     assert reserve(record, "x", count=5) == ["no", "capacity", 4]
 
 
 def test_ended_and_released_ones_are_forgotten_after_a_while():
-    record = made()
+    record = record_with_workers()
     reserve(record, "x")
     reserve(record, "y", untilMs=T + 10**7)
     record.do(["release", "y"])
@@ -143,14 +143,14 @@
 
 
 def test_pictures_carry_them_at_level_three_only_and_older_levels_know_none():
-    record = made(level=2)
+    record = record_with_workers(level=2)
     assert reserve(record, "x") == ["no", "level", 0] and "reservations" not in record.pack()
-    record.enact(op="level", d=3)
+    record.apply_entry(op="level", d=3)
     assert reserve(record, "x")[0] == "new"
     loaded = Record()
     loaded.load(record.pack())
     assert loaded.digest() == record.digest() and loaded.reservations == record.reservations
-    assert loaded.enact(op="turn", d={"e": 1, "c": 1, "s": record.last + 1, "v": [["release", "x"]]}).ok
+    assert loaded.apply_entry(op="turn", d={"e": 1, "c": 1, "s": record.last + 1, "v": [["release", "x"]]}).ok
     assert loaded.sum != record.sum
 
 
@@ -159,7 +159,7 @@
     """Random reservations are made, released and reduced while workers join and leave. After each
     confirmation their sum, computed here, is within the share at every moment; and a second record that
     applies the same entries is equal."""
-    draw, record, twin = random.Random(seed), made(workers=6), made(workers=6)
+    draw, record, twin = random.Random(seed), record_with_workers(workers=6), record_with_workers(workers=6)
     ms = 0
     for index in range(150):
         ms += draw.randrange(200)
@@ -229,4 +229,4 @@
         check_reservation(body(**kw))
     assert raised.value.failure.errors
     with pytest.raises(Raised):
-        check_shorter({"count": 0} if "count" in kw else {})
+        check_reduction({"count": 0} if "count" in kw else {})
--- a/tests/test_reserving.py
+++ b/tests/test_reserving.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 
 import pytest
-from test_reservations_record import T, made, reserve
+from test_reservations_record import T, record_with_workers, reserve
 
 from hollowhall.desk.pace import PaceMixin
 from hollowhall.desk.placing import PlaceMixin
@@ -18,7 +18,7 @@
     """Only the placement of a scheduler: `run_round` applies what a round decides at a time."""
 
     def __init__(self, **kw):
-        self.record, self.said = made(**kw), []
+        self.record, self.said = record_with_workers(**kw), []
         self.record.charter = {"version": 2, "rows": ROWS, "at": 0}
         self.settings, self.slow, self.lane_ms = SimpleNamespace(far_times=2), {}, {}
         self.sessions, self.work = {}, SimpleNamespace(set=lambda: None)
@@ -52,7 +52,7 @@
         for event, result in zip(events, results):
             assert result[0] in ("ok", "late"), (event, result)
             if event[0] == "stop":
-                attempt = self.record.legs[event[1]]
+                attempt = self.record.attempts[event[1]]
                 stops.append(attempt.job)
             else:
                 count = len(event[3]) if event[0] == "gang" else 1
@@ -62,7 +62,7 @@
 
     def end_stopped(self, ms):
         """Ends the attempts that the workers were told to stop."""
-        for attempt in [attempt for attempt in self.record.legs.values() if attempt.stop]:
+        for attempt in [attempt for attempt in self.record.attempts.values() if attempt.stop]:
             self.record.do(["end", attempt.run, "stopped", ""], ms=ms)
 
     def used(self):
@@ -131,7 +131,7 @@
     for n in range(3):
         primary.run_round(11_100 + 200 * n)
         primary.end_stopped(11_200 + 200 * n)
-    assert sum(attempt.lane == "a" for attempt in primary.record.legs.values()) == 16
+    assert sum(attempt.lane == "a" for attempt in primary.record.attempts.values()) == 16
 
 
 def test_gangs_keep_off_and_owners_gangs_start(primary):
@@ -162,7 +162,7 @@
 def test_a_copy_keeps_off(primary):
     primary.job("c", "b", 16, copies=True)
     primary.run_round(10_000)
-    attempt = next(iter(primary.record.legs.values()))
+    attempt = next(iter(primary.record.attempts.values()))
     workers, step = list(primary.record.workers.values()), primary.record.jobs["c"].steps["s"]
     assert not primary.copy(attempt=attempt, step=step, workers=workers, ms=T + 10_000) and primary.run_round(
         20_000
@@ -200,7 +200,8 @@
     primary.job("hot", "hot", 40, estimateMs=100_000)
     primary.run_round(10_000)
     assert (
-        primary.used() == 28 and sum(attempt.lane == "hot" for attempt in primary.record.legs.values()) == 16
+        primary.used() == 28
+        and sum(attempt.lane == "hot" for attempt in primary.record.attempts.values()) == 16
     )
 
 
@@ -224,7 +225,7 @@
     for n in range(12):
         primary.run_round(11_100 + 200 * n)
         primary.end_stopped(11_200 + 200 * n)
-    lanes = [attempt.lane for attempt in primary.record.legs.values()]
+    lanes = [attempt.lane for attempt in primary.record.attempts.values()]
     assert (lanes.count("a"), lanes.count("b")) == (14, 18)
 
 
--- a/tests/test_round_time.py
+++ b/tests/test_round_time.py
@@ -5,7 +5,7 @@
 
 from types import SimpleNamespace as Bag
 
-from test_level_two import ROW, made, step
+from test_level_two import ROW, record_with_job, step
 from test_pace import Desk as PaceDesk
 
 from hollowhall.base import constants
@@ -32,7 +32,7 @@
 def backlog(*, workers=60, gangs=40, small=40):
     """A full fleet on which gangs starve, with small tasks queued behind them."""
     rows = {"q": ROW, "low": ROW | {"urgency": 1}}
-    record = made(steps=[step(tasks=workers, room={"cores": 6000})], workers=workers, rows=rows)
+    record = record_with_job(steps=[step(tasks=workers, room={"cores": 6000})], workers=workers, rows=rows)
     record.do(*[["grant", f"j/0.0/{n}", f"w{n}"] for n in range(workers)])
     for n in range(gangs):
         # different shapes, so that the refusal of one does not skip the others
--- a/tests/test_taken_back.py
+++ b/tests/test_taken_back.py
@@ -28,13 +28,13 @@
     store = TenantStore(workers=2, t=tenant(cores=limit))
     store.job_of("t", **({"tasks": 4} | step))
     store.grants()
-    return store, sorted(store.record.legs)
+    return store, sorted(store.record.attempts)
 
 
 def test_what_has_not_begun_is_taken_back_when_the_limit_is_lowered():
     # found in the simulated day workers_go_silent_with_what_they_run, seed 106
     store, runs = granted()
-    begun = {run for run in runs if store.record.legs[run].worker == "w0"}
+    begun = {run for run in runs if store.record.attempts[run].worker == "w0"}
     desk = Desk(store)
     assert desk.orders_for("w1")[1] == []
     store.limit(t=tenant(cores=1000))
@@ -57,7 +57,7 @@
     # a task larger than the limit runs alone; it would be revoked and granted again without end
     store, runs = granted(tasks=1)
     store.limit(t=tenant(cores=500))
-    assert Desk(store).orders_for(store.record.legs[runs[0]].worker) == (runs, [])
+    assert Desk(store).orders_for(store.record.attempts[runs[0]].worker) == (runs, [])
 
 
 def test_a_gang_of_which_not_all_have_begun_is_stopped_whole():
@@ -67,7 +67,7 @@
     store.grants()
     store.job_of("t", "g", tasks=2, gang=True)
     store.do(["gang", "g", "0.0", ["w0", "w1"]])
-    members = sorted(run for run, attempt in store.record.legs.items() if attempt.job == "g")
+    members = sorted(run for run, attempt in store.record.attempts.items() if attempt.job == "g")
     store.limit(t=tenant(cores=1000))
     desk = Desk(store)
     desk.orders_for("w1"), desk.orders_for("w1")
--- a/tests/test_tenant_shares.py
+++ b/tests/test_tenant_shares.py
@@ -48,7 +48,7 @@
 
     def end_job(self, tenant, name):
         """Ends all running attempts of a job."""
-        for task in [attempt.task for attempt in list(self.record.legs.values()) if attempt.job == name]:
+        for task in [attempt.task for attempt in list(self.record.attempts.values()) if attempt.job == name]:
             self.end(task)
 
 
@@ -122,9 +122,9 @@
     for n in range(count):
         rounds.job_of("t", f"small{n}", room=room or {"cores": 1000})
         rounds.grant_round(after_ms=100)
-        if any(attempt.job == "gang" for attempt in rounds.record.legs.values()):
+        if any(attempt.job == "gang" for attempt in rounds.record.attempts.values()):
             return True
-        oldest = min(rounds.record.legs.values(), key=lambda attempt: attempt.run, default=None)
+        oldest = min(rounds.record.attempts.values(), key=lambda attempt: attempt.run, default=None)
         if oldest is not None:
             rounds.end(oldest.task)
     return False
--- a/tests/test_tenants_record.py
+++ b/tests/test_tenants_record.py
@@ -147,17 +147,17 @@
         store.limit(**bad)
     assert store.record.charter["version"] == version
     change = {"base": version, "rows": {}, "whole": False, "tenants": store.tenants}
-    result = store.record.enact(op="edit", d=change)
+    result = store.record.apply_entry(op="edit", d=change)
     assert isinstance(result, problems.BadInput) and "one" not in str(result)
 
 
 def test_a_change_that_says_nothing_of_tenants_leaves_them():
     store = TenantStore(t=tenant(cores=1000))
     version = store.record.charter["version"]
-    assert store.record.enact(op="edit", d={"base": version, "rows": {"b": row()}, "whole": False}).ok
+    assert store.record.apply_entry(op="edit", d={"base": version, "rows": {"b": row()}, "whole": False}).ok
     assert store.record.charter["tenants"].keys() == {"t"}
     more = {"base": version + 1, "rows": {}, "whole": False, "tenants": {"t": None, "u": store.tenants["t"]}}
-    assert store.record.enact(op="edit", d=more).ok
+    assert store.record.apply_entry(op="edit", d=more).ok
     assert store.record.charter["tenants"].keys() == {"u"}
 
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -71,7 +71,7 @@
     for index, _, data in entries:
         entry = unpack(data)
         if index <= fixture["applied"] and entry[0] in ("turn", "edit"):
-            record.enact(op=entry[0], d=entry[1])
+            record.apply_entry(op=entry[0], d=entry[1])
     assert record.digest() == fixture["digest"] and len(record.jobs) > 5
 
 
--- a/tests/weak.py
+++ b/tests/weak.py
@@ -30,11 +30,11 @@
         if old is not None:
             for task in old.tasks.values():
                 self.unready(task)
-            for run in [number for number, attempt in self.legs.items() if attempt.job == name]:
-                attempt = self.legs[run]
+            for run in [number for number, attempt in self.attempts.items() if attempt.job == name]:
+                attempt = self.attempts[run]
                 self.jobs[name] = old
-                self.take_room(attempt=attempt, sign=-1)
-                del self.legs[run]
+                self.count_attempt(attempt=attempt, sign=-1)
+                del self.attempts[run]
             self.jobs.pop(name, None)
         return super().ev_job(stamp, name, spec, digest)
 
@@ -105,10 +105,10 @@
 class IgnoresMaxFailures(Record):
     """Retries a task beyond maxFailures."""
 
-    def task_bad(self, *, job, task, worker, stamp, why):
+    def task_failed(self, *, job, task, worker, stamp, why):
         step = job.steps[task.step].spec
         max_failures, step["maxFailures"] = step["maxFailures"], 1000
-        super().task_bad(job=job, task=task, worker=worker, stamp=stamp, why=why)
+        super().task_failed(job=job, task=task, worker=worker, stamp=stamp, why=why)
         step["maxFailures"] = max_failures
 
 
@@ -175,10 +175,10 @@
 class JobFailedAtFirstFailure(Record):
     """Shows a job as failed at its first failure."""
 
-    def task_bad(self, *, job, task, worker, stamp, why):
-        super().task_bad(job=job, task=task, worker=worker, stamp=stamp, why=why)
+    def task_failed(self, *, job, task, worker, stamp, why):
+        super().task_failed(job=job, task=task, worker=worker, stamp=stamp, why=why)
         if job.state == "open":
-            self.wind_up(job=job, goal="failed", stamp=stamp, why="gave up")
+            self.begin_ending(job=job, goal="failed", stamp=stamp, why="gave up")
 
 
 class StaleConfigurationGateway(Mast):
--- a/tests/weak_parts.py
+++ b/tests/weak_parts.py
@@ -12,8 +12,8 @@
 class NoEpochFence(Record):
     """Accepts a batch of any primary, also of a previous one."""
 
-    def turn(self, fields):
-        return super().turn(
+    def apply_batch(self, fields):
+        return super().apply_batch(
             fields | {"e": max(fields["e"], self.epoch), "c": max(fields["c"], self.clock_epoch)}
         )
 
@@ -21,9 +21,9 @@
 class NoStampFence(Record):
     """Accepts a batch however old its timestamp."""
 
-    def turn(self, fields):
+    def apply_batch(self, fields):
         last, self.last = self.last, 0
-        outcome = super().turn(fields)
+        outcome = super().apply_batch(fields)
         self.last = max(last, self.last)
         return outcome
 
@@ -209,7 +209,7 @@
 class RestartsLostAtOnce(Record):
     """Restarts a lost worker's tasks at once, even if the worker said that it keeps running them."""
 
-    def restarts(self, *, worker, attempt):
+    def may_restart(self, *, worker, attempt):
         return True
 
 
