--- a/hollowhall/desk/__init__.py
+++ b/hollowhall/desk/__init__.py
@@ -13,8 +13,8 @@
 from .budget_requests import BudgetRequestsMixin
 from .leaving import LeavingMixin
 from .outcomes import JobRequestsMixin
-from .pace import PaceMixin
-from .placing import PlaceMixin
+from .pace import ProgressMixin
+from .placing import PlacementMixin
 from .policy import read_policy
 from .primary import PrimaryMixin
 from .record_tail import RecordTailMixin
@@ -29,11 +29,11 @@
 class Desk(
     RecordTailMixin,
     LeavingMixin,
-    PaceMixin,
+    ProgressMixin,
     TraceMixin,
     PrimaryMixin,
     BatchesMixin,
-    PlaceMixin,
+    PlacementMixin,
     BeatsMixin,
     JobRequestsMixin,
     ReservationRequestsMixin,
@@ -94,7 +94,7 @@
         ms = batch["s"] >> constants.LOGICAL_BITS
         self.note_ends(batch["v"])
         self.note_health(events=batch["v"], ms=ms)
-        self.note_pace(events=batch["v"], ms=ms)
+        self.learn_durations(events=batch["v"], ms=ms)
         if self.part == PRIMARY:
             self.note_trace(events=batch["v"], ms=ms)
 
--- a/hollowhall/desk/beats.py
+++ b/hollowhall/desk/beats.py
@@ -28,7 +28,7 @@
             PendingRequests(capacity=constants.PENDING_REQUESTS_PER_CONNECTION),
             {},
         )
-        self.gangs_taken_back = set()  # runs whose stop is queued for a batch
+        self.revoked_gang_runs = set()  # runs whose stop is queued for a batch
         self.run_task(coroutine=self.watch_workers(), name="mind")
 
     def start_beats(self):
@@ -278,7 +278,7 @@
             return Success(
                 value=self.named_answer(worker=worker, session=session, starts=starts, stops=stops)
             )
-        cards = [self.start_card(self.record.attempts[order]) for order in starts]
+        cards = [self.start_order(self.record.attempts[order]) for order in starts]
         return Success(
             value={
                 "starts": cards,
--- a/hollowhall/desk/care.py
+++ b/hollowhall/desk/care.py
@@ -108,7 +108,7 @@
                 log_events.WAITS_LONG,
                 steps=len(overdue),
                 first=[
-                    "/".join(key) + " " + self.why_waits(key)
+                    "/".join(key) + " " + self.wait_reason(key)
                     for key in overdue[: constants.STEPS_PER_LOG_LINE]
                 ],
             )
@@ -146,8 +146,8 @@
                     event=["end", run, "stopped", NEVER_BEGAN],
                     callback=lambda result, stamp, session=session, run=run: session.ending.discard(run),
                 )
-        self.look_at_pace(now=now, ms=ms)
-        self.copy_silent(now=now, ms=ms)
+        self.judge_progress(now=now, ms=ms)
+        self.copy_silent_workers(now=now, ms=ms)
         self.stop_before_departure(now=now, ms=ms)
         self.log_long_waits(now=now, ms=ms)
         self.lift_probation()
--- a/hollowhall/desk/gather.py
+++ b/hollowhall/desk/gather.py
@@ -18,7 +18,7 @@
     )
 
 
-class GatherMixin:
+class GangPlacementMixin:
     """Placement of gangs within a round."""
 
     def member_places(self, *, step, worker, empty=False):
--- a/hollowhall/desk/giving_back.py
+++ b/hollowhall/desk/giving_back.py
@@ -18,7 +18,7 @@
 
     def plan_now(self, *, ms):
         """The current plan; None without reservations."""
-        self.reserving = plan_of(rec=self.record, ms=ms, have=self.reserving, slow=self.slow)
+        self.reserving = plan_of(rec=self.record, ms=ms, previous=self.reserving, slow=self.slow)
         if self.reserving is None:
             self.logged_missing = {}
         elif self.reserving.missing != self.logged_missing:
@@ -79,7 +79,7 @@
             spec=step.spec,
             lane=attempt.lane,
             standing=self.record.jobs[attempt.job].spec["standing"],
-            usual=self.lane_ms,
+            usual=self.usual_ms_by_lane,
         )
         kept = plan.room_kept_from(
             worker=worker,
--- a/hollowhall/desk/leaving.py
+++ b/hollowhall/desk/leaving.py
@@ -53,7 +53,9 @@
         """Estimated ms until an attempt ends, by its progress, else by its lane's usual time; 0 if late."""
         if spec.get("forever"):
             return float("inf")
-        usual_ms = self.lane_ms.get(attempt.lane) or spec.get("estimateMs") or constants.DEFAULT_TASK_MS
+        usual_ms = (
+            self.usual_ms_by_lane.get(attempt.lane) or spec.get("estimateMs") or constants.DEFAULT_TASK_MS
+        )
         if attempt.run in session.progress:
             percent, _, first_percent, first_at = session.progress[attempt.run]
             age_ms = (now - first_at) * 1000
--- a/hollowhall/desk/orders.py
+++ b/hollowhall/desk/orders.py
@@ -21,13 +21,13 @@
         for run, attempt in worker.runs.items():
             if session.unsettled(run):
                 continue
-            if attempt.stop or run not in session.running and self.taken_back(attempt=attempt, worker=worker):
+            if attempt.stop or run not in session.running and self.is_revoked(attempt=attempt, worker=worker):
                 stops.append(run)
             elif run not in session.running:
                 starts.append(run)
         return starts, stops
 
-    def taken_back(self, *, attempt, worker):
+    def is_revoked(self, *, attempt, worker):
         """Whether an attempt that has not begun is revoked. Members of its gang that have begun are
         stopped."""
         if self.accepts_no_starts(worker):
@@ -45,14 +45,14 @@
     def take_gang_back(self, attempt):
         """Stops the members of a gang whose other members are revoked: they would wait for these for ever."""
         for member in self.record.gang_of(attempt):
-            if not member.stop and member.run not in self.gangs_taken_back:
-                self.gangs_taken_back.add(member.run)
+            if not member.stop and member.run not in self.revoked_gang_runs:
+                self.revoked_gang_runs.add(member.run)
                 self.queue_event(
                     event=["stop", member.run, "tenant"],
-                    callback=lambda result, stamp, run=member.run: self.gangs_taken_back.discard(run),
+                    callback=lambda result, stamp, run=member.run: self.revoked_gang_runs.discard(run),
                 )
 
-    def start_card(self, attempt):
+    def start_order(self, attempt):
         """What a worker needs in order to start an attempt."""
         spec = self.record.jobs[attempt.job].steps[attempt.step].spec
         return {
--- a/hollowhall/desk/pace.py
+++ b/hollowhall/desk/pace.py
@@ -12,15 +12,15 @@
 from ..record.kinds import UP
 
 
-class PaceMixin:
+class ProgressMixin:
     """Finds slow workers and rescues their attempts."""
 
     def open_pace(self):
         # by queue: moving average of its tasks' ms; by worker set aside: (ratio, until s); by run: ms of its
         # rescue
-        self.lane_ms, self.slow, self.rescued = {}, {}, {}
+        self.usual_ms_by_lane, self.slow, self.rescued = {}, {}, {}
 
-    def note_pace(self, *, events, ms):
+    def learn_durations(self, *, events, ms):
         """Learns how long a queue's tasks take from the successful ends of a batch that is about to be
         applied."""
         if not self.policy.learned_durations:
@@ -29,8 +29,8 @@
             attempt = self.record.attempts.get(event[1]) if event[0] == "end" and event[2] == "ok" else None
             if attempt is not None:
                 took_ms = max(1.0, (ms - (attempt.run >> constants.LOGICAL_BITS)) / self.stretch(attempt))
-                previous_ms = self.lane_ms.get(attempt.lane, took_ms)
-                self.lane_ms[attempt.lane] = previous_ms + constants.DURATION_NEWEST_WEIGHT * (
+                previous_ms = self.usual_ms_by_lane.get(attempt.lane, took_ms)
+                self.usual_ms_by_lane[attempt.lane] = previous_ms + constants.DURATION_NEWEST_WEIGHT * (
                     took_ms - previous_ms
                 )
 
@@ -76,11 +76,11 @@
                 )
         return by_step
 
-    def look_at_pace(self, *, now, ms):
+    def judge_progress(self, *, now, ms):
         """Sets aside workers whose attempts run far slower than others of their steps, and rescues these."""
         by_worker, progress = {}, []
         for step_key, entries in self.rates(now=now, ms=ms).items():
-            usual_ms = self.lane_ms.get(self.record.jobs[step_key[0]].lane)
+            usual_ms = self.usual_ms_by_lane.get(self.record.jobs[step_key[0]].lane)
             for attempt, rate, percent, stalled in entries:
                 others = [entry[1] for entry in entries if entry[0].worker != attempt.worker]
                 if others:
@@ -152,7 +152,9 @@
                 continue
             job = self.record.jobs[attempt.job]
             spec = job.steps[attempt.step].spec
-            usual_ms = self.lane_ms.get(attempt.lane) or spec.get("estimateMs") or constants.DEFAULT_TASK_MS
+            usual_ms = (
+                self.usual_ms_by_lane.get(attempt.lane) or spec.get("estimateMs") or constants.DEFAULT_TASK_MS
+            )
             left_ms = (100 - percent) / (rate / self.stretch(attempt))
             again_ms = (
                 min(usual_ms, 100 / (rate * ratio)) * ((100 - percent) / 100 if spec.get("saves") else 1.0)
@@ -205,7 +207,7 @@
         self.queue_event(event=["copy", attempt.task, worker.id])
         return True
 
-    def copy_silent(self, *, now, ms):
+    def copy_silent_workers(self, *, now, ms):
         """Starts copies of attempts on workers that have been silent for a while."""
         copies = 0
         for worker_id, session in self.sessions.items():
--- a/hollowhall/desk/place.py
+++ b/hollowhall/desk/place.py
@@ -11,7 +11,7 @@
 from ..record.kinds import Attempt
 from .backfill import BackfillMixin
 from .fit import FitMixin, total_room
-from .gather import GatherMixin
+from .gather import GangPlacementMixin
 from .headroom import HeadroomMixin
 from .order import HELD_FOR, OrderMixin
 from .policy import DEFAULT
@@ -21,7 +21,7 @@
 
 
 class Round(
-    ReservedMixin, FitMixin, GatherMixin, BackfillMixin, OrderMixin, HeadroomMixin, TenantSharesMixin
+    ReservedMixin, FitMixin, GangPlacementMixin, BackfillMixin, OrderMixin, HeadroomMixin, TenantSharesMixin
 ):
     """One round of placement over a record, at `now` ms, with at most `most` starts.
 
@@ -87,7 +87,7 @@
         top = max((a / b for a, b in zip(used, self.fleet_room) if b), default=0.0)
         return top / row["weight"]
 
-    def why_of(self, step_key):
+    def wait_reason_of(self, step_key):
         """Why a ready step still waits, as far as this round determined it; "turn" if it was not reached."""
         job = self.rec.jobs[step_key[0]]
         if job.lane not in self.rec.charter["rows"]:
--- a/hollowhall/desk/placing.py
+++ b/hollowhall/desk/placing.py
@@ -14,14 +14,14 @@
 from .tenant_turns import TenantTurns
 
 
-class PlaceMixin(GiveBackMixin, PreemptMixin, HealthMixin, UseMixin):
+class PlacementMixin(GiveBackMixin, PreemptMixin, HealthMixin, UseMixin):
     """Runs rounds of placement and keeps what one round leaves to the next."""
 
     policy = DEFAULT
 
     def remaining_ms_of(self, attempt):
         """Estimated ms that an attempt still needs, where its progress is not known."""
-        return self.lane_ms.get(attempt.lane, constants.DEFAULT_TASK_MS)
+        return self.usual_ms_by_lane.get(attempt.lane, constants.DEFAULT_TASK_MS)
 
     def open_place(self):
         """Initializes the state that is kept between rounds."""
@@ -35,10 +35,10 @@
         self.open_health()
         self.open_reserving()
 
-    last_round_s = 0.0  # duration of the last round in seconds
+    last_round_duration_s = 0.0  # duration of the last round in seconds
 
     @in_section("place")
-    def place_all(self, *, most, ends=()):
+    def place_tasks(self, *, most, ends=()):
         """The start and stop events of one round. ends: runs whose ends precede these events in the same
         batch, so that their room counts as free."""
         ending = [
@@ -57,7 +57,7 @@
             last_grant_ms=self.last_grant_ms,
             far=self.settings.far_times,
             slow=self.slow,
-            usual=self.lane_ms,
+            usual=self.usual_ms_by_lane,
             cache=self.cache,
             policy=self.policy,
             aims=self.aims,
@@ -83,7 +83,7 @@
         finally:
             for attempt in ending:
                 self.record.count_attempt(attempt=attempt, sign=1)
-        self.due_at, self.last_round, self.last_round_s = (
+        self.due_at, self.last_round, self.last_round_duration_s = (
             placement_round.due,
             placement_round,
             round_time.took(),
@@ -98,6 +98,6 @@
             )
         return events
 
-    def why_waits(self, step_key):
+    def wait_reason(self, step_key):
         """Why a ready step waits, according to the last round."""
-        return self.last_round.why_of(step_key) if self.last_round is not None else "turn"
+        return self.last_round.wait_reason_of(step_key) if self.last_round is not None else "turn"
--- a/hollowhall/desk/preempt.py
+++ b/hollowhall/desk/preempt.py
@@ -49,7 +49,7 @@
                     if (
                         len(stops) >= constants.PREEMPTIONS_PER_CHECK
                         or examined > constants.PREEMPTION_STEPS_PER_CHECK
-                        or placement_round.why_of(step_key) != "room"
+                        or placement_round.wait_reason_of(step_key) != "room"
                     ):
                         break
                     stops += self.preempt_step(
--- a/hollowhall/desk/reports.py
+++ b/hollowhall/desk/reports.py
@@ -89,7 +89,7 @@
         return [
             run
             for run, attempt in worker.runs.items()
-            if (attempt.stop or self.taken_back(attempt=attempt, worker=worker))
+            if (attempt.stop or self.is_revoked(attempt=attempt, worker=worker))
             and run not in session.running
             and not session.unsettled(run)
             and session.seq > told[run][0]
--- a/hollowhall/desk/reserved_plan.py
+++ b/hollowhall/desk/reserved_plan.py
@@ -339,11 +339,11 @@
         )
 
 
-def plan_of(*, rec, ms, have=None, slow=()):
+def plan_of(*, rec, ms, previous=None, slow=()):
     """The plan of a record at `ms`, updated from the one before (`have`); None if nothing is reserved."""
     if not rec.reservations or not rec.reserved(now=ms):
         return None
-    plan = have if have is not None and have.rec is rec else Plan(rec=rec)
+    plan = previous if previous is not None and previous.rec is rec else Plan(rec=rec)
     plan.refresh(ms=ms, slow=slow)
     return plan
 
--- a/hollowhall/desk/trace.py
+++ b/hollowhall/desk/trace.py
@@ -116,7 +116,7 @@
         for key in list(self.record.ready)[: constants.TRACE_STEPS_PER_CHECK]:
             trace = self.trace_of(key[0], ms=ms)
             if trace is not None:
-                add_up(trace.waits, more={self.why_waits(key): since})
+                add_up(trace.waits, more={self.wait_reason(key): since})
         self.tell_ended(ms=ms)
         if ms - self.told_ms > constants.QUEUE_TRACE_INTERVAL_MS:
             self.told_ms = ms
--- a/hollowhall/desk/turns.py
+++ b/hollowhall/desk/turns.py
@@ -190,7 +190,7 @@
             items = self.next_items()
             self.committing = True
             events = [event for event, _ in items]
-            events += self.place_all(
+            events += self.place_tasks(
                 most=constants.BATCH_EVENTS_MAX, ends=[event[1] for event in events if event[0] == "end"]
             )
             self.trace_waits(ms=self.clock_ms())
@@ -200,7 +200,10 @@
                     break
             self.committing = False
             await asyncio.sleep(
-                max(constants.BATCH_INTERVAL_MIN, constants.PLACEMENT_PAUSE_FACTOR * self.last_round_s)
+                max(
+                    constants.BATCH_INTERVAL_MIN,
+                    constants.PLACEMENT_PAUSE_FACTOR * self.last_round_duration_s,
+                )
             )
         await self.wait_for_batch()
 
--- a/hollowhall/desk/views.py
+++ b/hollowhall/desk/views.py
@@ -25,7 +25,7 @@
             "fails": sum(task.fails for task in job.tasks.values()),
         }
         view["waits"] = {
-            step: self.why_waits((name, step)) for step in job.steps if (name, step) in self.record.ready
+            step: self.wait_reason((name, step)) for step in job.steps if (name, step) in self.record.ready
         }
         if tasks:
             view["each"] = [self.task_view(task) for task in job.tasks.values()]
--- a/hollowhall/tools/measure/sick.py
+++ b/hollowhall/tools/measure/sick.py
@@ -40,7 +40,7 @@
     def note_health(self, **kw):
         pass
 
-    def look_at_pace(self, **kw):
+    def judge_progress(self, **kw):
         pass
 
     def health_view(self):
--- a/hollowhall/tools/measure/sick_fleet.py
+++ b/hollowhall/tools/measure/sick_fleet.py
@@ -7,8 +7,8 @@
 from ...base import constants
 from ...desk.beats import BeatsMixin
 from ...desk.leaving import LeavingMixin
-from ...desk.pace import PaceMixin
-from ...desk.placing import PlaceMixin
+from ...desk.pace import ProgressMixin
+from ...desk.placing import PlacementMixin
 from ...desk.worker_session import WorkerSession
 from ...record import Record
 from ...record.charter import check_job
@@ -29,7 +29,7 @@
 OWN = 0.02  # part of the jobs whose first task fails once by itself
 
 
-class Judge(LeavingMixin, PaceMixin, PlaceMixin, BeatsMixin):
+class Judge(LeavingMixin, ProgressMixin, PlacementMixin, BeatsMixin):
     """The primary's judgement: reports in, a turn each tick, orders out."""
 
     def __init__(self, *, rows):
@@ -71,13 +71,13 @@
     def turn(self):
         items, self.queue = self.queue, []
         evs = [ev for ev, _ in items]
-        evs += self.place_all(most=constants.BATCH_EVENTS_MAX, ends=[e[1] for e in evs if e[0] == "end"])
+        evs += self.place_tasks(most=constants.BATCH_EVENTS_MAX, ends=[e[1] for e in evs if e[0] == "end"])
         if not evs:
             return
         ms = self.clock_ms()
         self.note_ends(evs)
         self.note_health(events=evs, ms=ms)
-        self.note_pace(events=evs, ms=ms)
+        self.learn_durations(events=evs, ms=ms)
         d = {"e": 1, "c": 1, "s": max(self.record.last + 1, ms << constants.LOGICAL_BITS), "v": evs}
         for (_, k), r in zip(items, self.record.apply_entry(op="turn", d=d).value):
             if k is not None:
--- a/hollowhall/tools/plan/ahead.py
+++ b/hollowhall/tools/plan/ahead.py
@@ -130,7 +130,7 @@
         placement_round = Round(
             rec=self.record, now=self.clock_ms, most=constants.BATCH_EVENTS_MAX, kept=self.kept
         )
-        self.reserving = plan_of(rec=self.record, ms=self.clock_ms, have=self.reserving)
+        self.reserving = plan_of(rec=self.record, ms=self.clock_ms, previous=self.reserving)
         placement_round.open_plan(self.reserving)
         for task, worker in placement_round.run():
             state = self.record.jobs[task.rsplit("/", 2)[0]].tasks[task]
--- a/hollowhall/tools/plan/plan.py
+++ b/hollowhall/tools/plan/plan.py
@@ -29,7 +29,7 @@
     for key, tasks in record.ready.items():
         for task in tasks.values():
             if task.id not in starts:
-                reasons[task.id] = placement_round.why_of(key)
+                reasons[task.id] = placement_round.wait_reason_of(key)
     return starts, reasons
 
 
--- a/tests/test_ahead.py
+++ b/tests/test_ahead.py
@@ -7,7 +7,7 @@
 
 import pytest
 from cleo.testers.command_tester import CommandTester
-from test_place import Table
+from test_place import SmallFleet
 
 from hollowhall.base import constants
 from hollowhall.base.problems import Raised
@@ -21,12 +21,12 @@
 def forward_run(table, durations, seconds, seed=1):
     """The figures of one forecast from a table's record."""
     return ForwardRun(
-        record=table.rec, now=table.st >> constants.LOGICAL_BITS, durations=durations, seed=seed
+        record=table.rec, now=table.stamp >> constants.LOGICAL_BITS, durations=durations, seed=seed
     ).run(seconds=seconds)
 
 
 def test_waves_of_equal_tasks():
-    table = Table(workers=2)  # 16 cores, 40 tasks of 2: waves of 8, each 1 s
+    table = SmallFleet(workers=2)  # 16 cores, 40 tasks of 2: waves of 8, each 1 s
     table.job("j", tasks=40, cores=2)
     figures = forward_run(table, {("a", "s"): [1000] * 3}, 3.5)["lanes"]["a"]
     assert (figures["started"], figures["ended"], figures["left"]) == (32, 24, 8)
@@ -34,10 +34,10 @@
 
 
 def test_what_ended_jobs_show_of_durations():
-    table = Table()
+    table = SmallFleet()
     for number in range(4):
         table.job(f"j{number}")
-    _, runs = table.turn()
+    _, runs = table.run_round()
     table.tick(700)
     for run_id in runs.values():
         table.end(run_id)
--- a/tests/test_headroom_held.py
+++ b/tests/test_headroom_held.py
@@ -29,7 +29,7 @@
 
 def test_without_a_worker_of_its_own_it_leaves_headroom():
     starts, placement_round = run_round(kept={})
-    assert starts == [] and placement_round.why_of(("j", "0.0")) == "headroom"
+    assert starts == [] and placement_round.wait_reason_of(("j", "0.0")) == "headroom"
 
 
 def test_only_one_task_starts_for_a_worker_that_was_held_back():
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -21,13 +21,13 @@
         return self.primary
 
     def clock_ms(self):
-        return 1000 + int(self.t * 1000)
+        return 1000 + int(self.now_s * 1000)
 
     def do(self, *events):
         self.note_ends(events)
         self.note_health(events=events, ms=self.clock_ms())
-        results = self.record.do(*events, ms=int(self.t * 1000))
-        self.t += 0.01
+        results = self.record.do(*events, ms=int(self.now_s * 1000))
+        self.now_s += 0.01
         return results
 
     def ends(self, worker, how, tasks):
@@ -102,7 +102,7 @@
             desk.ends("w0", "bad", [f"0.{failures % 3}/{failures}"])
         flush(desk)
         spans.append(desk.health["w0"].aside_until_ms - desk.clock_ms())
-        desk.t = (desk.health["w0"].aside_until_ms - 1000) / 1000 + 0.01
+        desk.now_s = (desk.health["w0"].aside_until_ms - 1000) / 1000 + 0.01
         desk.check_health(ms=desk.clock_ms())
         assert desk.state("w0") == TRIAL
     assert failures == 2 + 6  # two failures to the first time aside, then one for each trial
@@ -121,16 +121,16 @@
             or health.evidence < constants.EVIDENCE_SET_ASIDE
         )
     flush(desk)
-    desk.t += 6.0
+    desk.now_s += 6.0
     desk.check_health(ms=desk.clock_ms())
     assert desk.state("w0") == TRIAL
-    grants = [e for e in desk.place_all(most=50) if e[0] == "grant"]
+    grants = [e for e in desk.place_tasks(most=50) if e[0] == "grant"]
     assert len(grants) == 1
     run = desk.do(*grants)[0][1]
-    assert desk.place_all(most=50) == []  # the first attempt of the trial is still running
+    assert desk.place_tasks(most=50) == []  # the first attempt of the trial is still running
     desk.do(["end", run, "ok", ""])
     desk.ends("w0", "ok", ["0.1/9"])
-    assert desk.state("w0") == SOUND and len(desk.place_all(most=50)) > 3
+    assert desk.state("w0") == SOUND and len(desk.place_tasks(most=50)) > 3
 
 
 def test_never_more_than_a_part_of_a_kind_is_set_aside():
@@ -153,7 +153,7 @@
     desk.ends("w0", "bad", ["0.1/1"])  # suspected
     desk.ends("w1", "bad", ["0.0/1"])
     desk.health["w1"].state = SOUND
-    placed = dict(e[1:] for e in desk.place_all(most=400) if e[0] == "grant")
+    placed = dict(e[1:] for e in desk.place_tasks(most=400) if e[0] == "grant")
     assert placed["j/0.0/1"] == "w2"  # it failed on w1, and w0 is suspected
 
 
@@ -219,7 +219,7 @@
         spans.append(desk.note_slow_worker(worker_id="w0", ms=desk.clock_ms()))
         # another sign of slowness while set aside is no relapse
         assert desk.note_slow_worker(worker_id="w0", ms=desk.clock_ms()) == spans[-1]
-        desk.t += spans[-1] / 1000 + 0.01
+        desk.now_s += spans[-1] / 1000 + 0.01
         desk.check_health(ms=desk.clock_ms())
         assert desk.state("w0") == TRIAL
     assert spans == [int(constants.SLOW_WORKER_ASIDE_S * 1000) << relapse for relapse in range(3)]
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -7,7 +7,7 @@
 from hollowhall.base import constants
 from hollowhall.desk.aims import Aims, aim_ms, tails_ms
 from hollowhall.desk.place import Round
-from hollowhall.desk.placing import PlaceMixin
+from hollowhall.desk.placing import PlacementMixin
 from hollowhall.desk.policy import read_policy
 from hollowhall.desk.standings import IN_AIM, LATE, TOO_LATE
 from hollowhall.record.charter import check_job
@@ -119,7 +119,7 @@
 
 
 def test_use_is_remembered_for_a_while_only():
-    class Place(PlaceMixin):
+    class Place(PlacementMixin):
         """The placement of a scheduler over a record with two queues."""
 
         record = two_queues()
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -9,21 +9,21 @@
 
 from hollowhall.base import constants
 from hollowhall.desk.leaving import LeavingMixin
-from hollowhall.desk.pace import PaceMixin
+from hollowhall.desk.pace import ProgressMixin
 from hollowhall.desk.place import Round
-from hollowhall.desk.placing import PlaceMixin
+from hollowhall.desk.placing import PlacementMixin
 from hollowhall.desk.reports import ReportsMixin
 from hollowhall.desk.worker_session import WorkerSession
 from hollowhall.record.charter import check_job
 
 
-class Desk(LeavingMixin, ReportsMixin, PaceMixin, PlaceMixin):
+class Desk(LeavingMixin, ReportsMixin, ProgressMixin, PlacementMixin):
     """The placement and progress code of a scheduler over a record, with a clock of its own (`t`, in s)."""
 
     def __init__(self, record):
-        self.record, self.t, self.said, self.events, self.sessions = record, 1.0, [], [], {}
+        self.record, self.now_s, self.said, self.events, self.sessions = record, 1.0, [], [], {}
         self.settings = Bag(far_times=3.0, hold_ms=3600)
-        self.runtime, self.work = Bag(now=lambda: self.t, spend=lambda s: 0.0), Bag(set=lambda: None)
+        self.runtime, self.work = Bag(now=lambda: self.now_s, spend=lambda s: 0.0), Bag(set=lambda: None)
         self.epoch = 4
         self.open_pace()
         self.open_place()
@@ -38,13 +38,17 @@
         return 3.8
 
     def clock_ms(self):
-        return int(self.t * 1000)
+        return int(self.now_s * 1000)
 
     def report(self, worker_id, named=(), ends=(), **more):
         session = self.sessions.setdefault(
             worker_id, WorkerSession(boot="1", names_attempts=True, since=-9.0)
         )
-        session.until, session.last_beat_at, session.seq = self.t + self.lease_s(), self.t, session.seq + 1
+        session.until, session.last_beat_at, session.seq = (
+            self.now_s + self.lease_s(),
+            self.now_s,
+            session.seq + 1,
+        )
         return self.read_report(
             request={"boot": "1", "named": named, "ends": ends, **more},
             session=session,
@@ -92,16 +96,16 @@
     session, worker = desk.sessions["w0"], desk.record.workers["w0"]
     desk.named_answer(worker=worker, session=session, starts=[run], stops=[])
     desk.record.do(["cancel", "j"])
-    desk.t += 5.0
+    desk.now_s += 5.0
     # silent since then: it may be partitioned and running
     assert desk.never_began(session=session, worker=worker) == []
-    desk.t = 2.2
+    desk.now_s = 2.2
     desk.report("w0")
     assert desk.never_began(session=session, worker=worker) == []  # the order to start may still be in flight
-    desk.t += 0.2
+    desk.now_s += 0.2
     desk.report("w0")
     assert desk.never_began(session=session, worker=worker) == [run]
-    session.since = desk.t
+    session.since = desk.now_s
     # a new primary does not know which starts were sent
     assert desk.never_began(session=session, worker=worker) == []
 
@@ -116,15 +120,15 @@
 
 def pass_time(desk, rates, *, to, begin=0):
     """Sends reports every 0.25 s; rates: progress of each worker's attempts in percent per second."""
-    while desk.t < to:
+    while desk.now_s < to:
         for worker_id, worker in desk.record.workers.items():
-            percent = int(begin + rates[worker_id] * (desk.t - 1.0))
+            percent = int(begin + rates[worker_id] * (desk.now_s - 1.0))
             desk.report(
                 worker_id,
                 named=[(attempt.task, attempt.no, "", min(99, percent)) for attempt in worker.runs.values()],
             )
-        desk.look_at_pace(now=desk.t, ms=desk.clock_ms())
-        desk.t += 0.25
+        desk.judge_progress(now=desk.now_s, ms=desk.clock_ms())
+        desk.now_s += 0.25
 
 
 def test_a_slow_worker_is_set_aside_and_its_work_begun_elsewhere():
@@ -133,9 +137,9 @@
     assert list(desk.slow) == ["w2"] and desk.said[0][0] == 419
     assert {event[0] for event in desk.events} == {"stop"}
     assert {desk.record.attempts[event[1]].worker for event in desk.events} == {"w2"}
-    desk.t += constants.SLOW_WORKER_ASIDE_S
+    desk.now_s += constants.SLOW_WORKER_ASIDE_S
     desk.sessions.clear()
-    desk.look_at_pace(now=desk.t, ms=desk.clock_ms())
+    desk.judge_progress(now=desk.now_s, ms=desk.clock_ms())
     assert not desk.slow  # no more evidence against it: it is tried again
 
 
@@ -154,12 +158,12 @@
     stalled = {"w2": 24}
     for _ in range(6):
         for worker_id, worker in desk.record.workers.items():
-            percent = stalled.get(worker_id, int(30 * (desk.t - 1)))
+            percent = stalled.get(worker_id, int(30 * (desk.now_s - 1)))
             desk.report(
                 worker_id, named=[(attempt.task, attempt.no, "", percent) for attempt in worker.runs.values()]
             )
-        desk.look_at_pace(now=desk.t, ms=desk.clock_ms())
-        desk.t += 0.25
+        desk.judge_progress(now=desk.now_s, ms=desk.clock_ms())
+        desk.now_s += 0.25
     assert list(desk.slow) == ["w2"]
     assert {event[0] for event in desk.events} == {"copy"} and all(event[2] != "w2" for event in desk.events)
 
@@ -185,8 +189,8 @@
 
 
 def placement_events(desk, ms):
-    desk.t = (ms + 1000) / 1000
-    return desk.place_all(most=100)
+    desk.now_s = (ms + 1000) / 1000
+    return desk.place_tasks(most=100)
 
 
 def test_less_urgent_work_makes_room_once_and_no_more_than_is_needed():
@@ -244,7 +248,7 @@
     placement_round = round_of(record, 9000)
     assert (
         placement_round.gangs == []
-        and placement_round.why_of(("j", "0.0")) == "never"
+        and placement_round.wait_reason_of(("j", "0.0")) == "never"
         and not placement_round.kept
     )
 
--- a/tests/test_pace_gangs.py
+++ b/tests/test_pace_gangs.py
@@ -11,14 +11,14 @@
 def test_a_gangs_member_that_is_through_says_nothing_of_its_worker():
     desk = Desk(record_with_job(steps=[step(tasks=6, gang=True, room={"cores": 4000})], workers=3))
     desk.record.do(["gang", "j", "0.0", ["w0", "w0", "w1", "w1", "w2", "w2"]])
-    while desk.t < 8:
+    while desk.now_s < 8:
         for worker_id, worker in desk.record.workers.items():
-            percent = min(100, int((24 if worker_id == "w0" else 15) * (desk.t - 1)))
+            percent = min(100, int((24 if worker_id == "w0" else 15) * (desk.now_s - 1)))
             desk.report(
                 worker_id, named=[(attempt.task, attempt.no, "", percent) for attempt in worker.runs.values()]
             )
-        desk.look_at_pace(now=desk.t, ms=desk.clock_ms())
-        desk.t += 0.25
+        desk.judge_progress(now=desk.now_s, ms=desk.clock_ms())
+        desk.now_s += 0.25
     assert not [event for event in desk.events if desk.record.attempts[event[1]].worker == "w0"]
     assert "w0" not in desk.slow
 
--- a/tests/test_pace_leaving.py
+++ b/tests/test_pace_leaving.py
@@ -13,10 +13,10 @@
     desk = Desk(record_with_job(steps=[step(saves=saves)]))
     desk.record.do(["grant", "j/0.0/0", "w0"])
     desk.report("w0", named=[("j/0.0/0", 1, "", 0)])
-    desk.t += 1.0
+    desk.now_s += 1.0
     desk.report("w0", named=[("j/0.0/0", 1, "", percent)], leaveMs=left)
     desk.record.do(["leave", "w0", "1"])
-    desk.stop_before_departure(now=desk.t, ms=desk.clock_ms())
+    desk.stop_before_departure(now=desk.now_s, ms=desk.clock_ms())
     assert [event[::2] for event in desk.events] == ([["stop", "leave"]] if stopped else [])
 
 
--- a/tests/test_pace_silence.py
+++ b/tests/test_pace_silence.py
@@ -12,15 +12,15 @@
 
 def send_reports(desk, workers, *, to):
     """Sends reports of these workers every 0.25 s; the others are silent."""
-    while desk.t < to:
+    while desk.now_s < to:
         for worker_id in workers:
-            worker, percent = desk.record.workers[worker_id], int(RATE * (desk.t - 1.0))
+            worker, percent = desk.record.workers[worker_id], int(RATE * (desk.now_s - 1.0))
             desk.report(
                 worker_id,
                 named=[(attempt.task, attempt.no, "", min(99, percent)) for attempt in worker.runs.values()],
             )
-        desk.look_at_pace(now=desk.t, ms=desk.clock_ms())
-        desk.t += 0.25
+        desk.judge_progress(now=desk.now_s, ms=desk.clock_ms())
+        desk.now_s += 0.25
 
 
 def test_a_worker_that_is_silent_and_works_on_is_neither_set_aside_nor_put_on_trial():
@@ -35,15 +35,15 @@
 def test_one_that_tells_of_no_progress_is_set_aside_as_before():
     desk = busy(workers=3, tasks=6)
     send_reports(desk, ("w0", "w1", "w2"), to=3.0)
-    while desk.t < 6.0:
+    while desk.now_s < 6.0:
         for worker_id in ("w0", "w1", "w2"):
-            percent = int(RATE * (desk.t - 1.0)) if worker_id != "w2" else 30
+            percent = int(RATE * (desk.now_s - 1.0)) if worker_id != "w2" else 30
             runs_on = desk.record.workers[worker_id].runs.values()
             desk.report(
                 worker_id, named=[(attempt.task, attempt.no, "", min(99, percent)) for attempt in runs_on]
             )
-        desk.look_at_pace(now=desk.t, ms=desk.clock_ms())
-        desk.t += 0.25
+        desk.judge_progress(now=desk.now_s, ms=desk.clock_ms())
+        desk.now_s += 0.25
     assert "w2" in desk.slow
 
 
--- a/tests/test_place.py
+++ b/tests/test_place.py
@@ -19,18 +19,18 @@
 }
 
 
-class Table:
+class SmallFleet:
     """A record with workers of eight cores and jobs; `turn` runs a round and grants its starts."""
 
     def __init__(self, workers=4, rows=ROWS):
-        self.rec, self.st, self.kept = Record(), 1000 << constants.LOGICAL_BITS, {}
+        self.rec, self.stamp, self.kept = Record(), 1000 << constants.LOGICAL_BITS, {}
         self.rec.charter = {"version": 2, "rows": rows, "at": 0}
         for i in range(workers):
             self.rec.ev_worker(self.tick(), f"w{i}", "b", "tile", "z1", f"r{i % 2}", [8, 0, 0])
 
     def tick(self, ms=0):
-        self.st += 1 + (ms << constants.LOGICAL_BITS)
-        return self.st
+        self.stamp += 1 + (ms << constants.LOGICAL_BITS)
+        return self.stamp
 
     def job(self, name, lane="a", tasks=1, cores=1, **kw):
         spec, digest = check_job(
@@ -41,9 +41,9 @@
         )
         self.rec.ev_job(self.tick(), name, spec, digest)
 
-    def turn(self, most=400):
+    def run_round(self, most=400):
         placement_round = Round(
-            rec=self.rec, now=self.st >> constants.LOGICAL_BITS, most=most, kept=self.kept
+            rec=self.rec, now=self.stamp >> constants.LOGICAL_BITS, most=most, kept=self.kept
         )
         starts = placement_round.run()
         runs = {}
@@ -66,19 +66,19 @@
 
 
 def test_urgency_first_then_weighted_shares():
-    table = Table()
+    table = SmallFleet()
     table.job("ja", "a", 100)
     table.job("jb", "b", 100)
     table.job("jh", "hot", 8)
-    _, runs = table.turn()
+    _, runs = table.run_round()
     assert lanes_of(table, runs) == {"hot": 8, "a": 18, "b": 6}
 
 
 def test_impossible_work_says_never_and_blocks_nobody():
-    table = Table()
+    table = SmallFleet()
     table.job("big", cores=100)
     table.job("ok", tasks=5)
-    placement_round, runs = table.turn()
+    placement_round, runs = table.run_round()
     assert lanes_of(table, runs) == {"a": 5} and placement_round.reasons["big", "s"] == "never"
 
 
@@ -87,12 +87,12 @@
     """Small jobs keep arriving; if a worker is held back, the large task starts."""
     if not wait:
         monkeypatch.setattr(constants, "STARVATION_MS", 10**9)
-    table, running, started = Table(workers=2), [], False
+    table, running, started = SmallFleet(workers=2), [], False
     table.job("small-0", tasks=16)
-    running += list(table.turn()[1].items())
+    running += list(table.run_round()[1].items())
     table.job("large", "b", cores=8)
     for n in range(1, 60):
-        running += list(table.turn()[1].items())
+        running += list(table.run_round()[1].items())
         started = started or any(task.startswith("large") for task, _ in running)
         for _, run in running[:3]:
             table.end(run)
@@ -103,30 +103,30 @@
 
 
 def test_a_retry_goes_to_another_worker():
-    table = Table()
+    table = SmallFleet()
     table.job("j", backoffMs=0)
-    _, runs = table.turn()
+    _, runs = table.run_round()
     first_worker = table.rec.attempts[runs["j/s/0"]].worker
     table.end(runs["j/s/0"], "bad")
-    _, runs = table.turn()
+    _, runs = table.run_round()
     assert table.rec.attempts[runs["j/s/0"]].worker != first_worker
 
 
 def test_a_worker_on_probation_gets_nothing_until_it_is_over():
-    table = Table(workers=1)
-    table.rec.ev_flaky(table.tick(), "w0", (table.st >> constants.LOGICAL_BITS) + 1000)
+    table = SmallFleet(workers=1)
+    table.rec.ev_flaky(table.tick(), "w0", (table.stamp >> constants.LOGICAL_BITS) + 1000)
     table.job("j")
-    placement_round, runs = table.turn()
+    placement_round, runs = table.run_round()
     assert runs == {} and placement_round.reasons["j", "s"] == "probation"
     table.tick(1500)
-    assert len(table.turn()[1]) == 1
+    assert len(table.run_round()[1]) == 1
 
 
 def test_a_round_leaves_the_record_as_it_was():
-    table = Table()
+    table = SmallFleet()
     table.job("j", tasks=50)
     before = table.rec.digest(), {worker.id: list(worker.used) for worker in table.rec.workers.values()}
-    Round(rec=table.rec, now=table.st >> constants.LOGICAL_BITS, most=400).run()
+    Round(rec=table.rec, now=table.stamp >> constants.LOGICAL_BITS, most=400).run()
     assert before == (
         table.rec.digest(),
         {worker.id: list(worker.used) for worker in table.rec.workers.values()},
--- a/tests/test_probation.py
+++ b/tests/test_probation.py
@@ -18,11 +18,11 @@
     """A scheduler that has set workers aside RELAPSES times, last at SIGN_MS."""
     desk = Carer(record)
     for number in reversed(range(RELAPSES)):
-        desk.t = (SIGN_MS - number * 10_000) / 1000
+        desk.now_s = (SIGN_MS - number * 10_000) / 1000
         for worker_id in workers:
             if desk.health_of(worker_id).state == ASIDE:
                 desk.start_trial(worker_id=worker_id, ms=desk.clock_ms())
-            desk.set_aside(worker_id=worker_id, now=desk.t, ratio=1.0, stuck=2)
+            desk.set_aside(worker_id=worker_id, now=desk.now_s, ratio=1.0, stuck=2)
     return desk
 
 
--- a/tests/test_queue_services.py
+++ b/tests/test_queue_services.py
@@ -35,9 +35,9 @@
     # waited for the former service, for as long as that service was full.
     starts, work = placed(other_workers=workers)
     assert [task for task, _ in starts] == ["moved/0.0/0"]
-    assert work.why_of(("j", "0.0")) == "room"
+    assert work.wait_reason_of(("j", "0.0")) == "room"
 
 
 def test_where_the_new_service_has_no_workers_the_job_says_so():
     starts, work = placed(other_workers=0)
-    assert starts == [] and work.why_of(("moved", "0.0")) == "never"
+    assert starts == [] and work.wait_reason_of(("moved", "0.0")) == "never"
--- a/tests/test_reported_ends.py
+++ b/tests/test_reported_ends.py
@@ -32,7 +32,7 @@
             {},
             {},
         )
-        self.gangs_taken_back, self.said = set(), []
+        self.revoked_gang_runs, self.said = set(), []
         self.open_batches()
 
     def live(self):
@@ -50,7 +50,7 @@
     def do_nothing(self, **_):
         pass
 
-    look_at_pace = copy_silent = stop_before_departure = log_long_waits = retry_needed_workers = (
+    judge_progress = copy_silent_workers = stop_before_departure = log_long_waits = retry_needed_workers = (
         check_health
     ) = do_nothing
     lift_probation = do_nothing
--- a/tests/test_reserving.py
+++ b/tests/test_reserving.py
@@ -7,20 +7,20 @@
 import pytest
 from test_reservations_record import T, record_with_workers, reserve
 
-from hollowhall.desk.pace import PaceMixin
-from hollowhall.desk.placing import PlaceMixin
+from hollowhall.desk.pace import ProgressMixin
+from hollowhall.desk.placing import PlacementMixin
 from hollowhall.record.charter import check_job
 
 ROWS = {a: {"weight": 1.0, "limit": 0, "urgency": u} for a, u in (("a", 3), ("b", 5), ("hot", 9))}
 
 
-class Primary(PlaceMixin, PaceMixin):
+class Primary(PlacementMixin, ProgressMixin):
     """Only the placement of a scheduler: `run_round` applies what a round decides at a time."""
 
     def __init__(self, **kw):
         self.record, self.said = record_with_workers(**kw), []
         self.record.charter = {"version": 2, "rows": ROWS, "at": 0}
-        self.settings, self.slow, self.lane_ms = SimpleNamespace(far_times=2), {}, {}
+        self.settings, self.slow, self.usual_ms_by_lane = SimpleNamespace(far_times=2), {}, {}
         self.sessions, self.work = {}, SimpleNamespace(set=lambda: None)
         self.runtime = SimpleNamespace(now=lambda: 0.0, spend=lambda s: 0.0)
         self.open_place()
@@ -47,7 +47,7 @@
     def run_round(self, ms):
         """Runs a round at T + ms: ({job: tasks started}, [job of each stopped attempt])."""
         self.ms = T + ms
-        events = self.place_all(most=400)
+        events = self.place_tasks(most=400)
         results, starts, stops = self.record.do(*events, ms=ms), {}, []
         for event, result in zip(events, results):
             assert result[0] in ("ok", "late"), (event, result)
@@ -92,7 +92,7 @@
 def test_a_step_that_only_reservations_hold_back_says_so(primary):
     reserve(primary.record, "all", 100, count=16)
     primary.job("b", "b")
-    assert primary.run_round(0) == ({}, []) and primary.why_waits(("b", "s")) == "reserved"
+    assert primary.run_round(0) == ({}, []) and primary.wait_reason(("b", "s")) == "reserved"
 
 
 def test_in_the_window_owners_have_it_whatever_waits_and_no_one_else(primary):
--- a/tests/test_round_time.py
+++ b/tests/test_round_time.py
@@ -18,14 +18,14 @@
     """A clock that advances by the reported work, scaled by `times`, and by `tick` s on each reading."""
 
     def __init__(self, times=1.0, tick=0.0):
-        self.t, self.times, self.tick = 0.0, times, tick
+        self.now_s, self.times, self.tick = 0.0, times, tick
 
     def now(self):
-        self.t += self.tick
-        return self.t
+        self.now_s += self.tick
+        return self.now_s
 
     def spend(self, *, s):
-        self.t += s * self.times
+        self.now_s += s * self.times
         return 0.0
 
 
@@ -47,7 +47,7 @@
     desk = PaceDesk(record)
     desk.runtime, desk.woken = Runtime(times), 0
     desk.work = Bag(set=lambda: setattr(desk, "woken", desk.woken + 1))
-    desk.t = 2.0 + constants.STARVATION_MS / 1000
+    desk.now_s = 2.0 + constants.STARVATION_MS / 1000
     return desk
 
 
@@ -56,12 +56,12 @@
     tasks started)."""
     durations, started = [], []
     while not durations or desk.last_round.cut_short:
-        before = desk.runtime.t
-        events = desk.place_all(most=constants.BATCH_EVENTS_MAX)
-        durations.append(desk.runtime.t - before)
+        before = desk.runtime.now_s
+        events = desk.place_tasks(most=constants.BATCH_EVENTS_MAX)
+        durations.append(desk.runtime.now_s - before)
         started += [event[1] for event in events if event[0] == "grant"]
         desk.record.do(*events, ms=desk.clock_ms())
-        desk.t += 0.05
+        desk.now_s += 0.05
         assert len(durations) < 500
     return durations, started
 
@@ -86,7 +86,7 @@
 def test_a_round_that_has_no_time_left_places_one_step_all_the_same():
     desk = desk_over(backlog(gangs=0))
     desk.runtime.tick = 2 * constants.PLACEMENT_ROUND_MAX_S
-    desk.place_all(most=constants.BATCH_EVENTS_MAX)
+    desk.place_tasks(most=constants.BATCH_EVENTS_MAX)
     assert desk.last_round.cut_short and len(desk.last_round.out) == 1
 
 
@@ -104,7 +104,7 @@
 def test_time_that_passes_and_time_that_is_told_both_count():
     seam = Runtime()
     round_time = RoundTime(runtime=seam, most=1.0)
-    seam.t += 0.6
+    seam.now_s += 0.6
     assert not round_time.over()
     round_time.spend(s=0.5)
     assert round_time.over()
@@ -114,7 +114,9 @@
     # the next round starts after twice that time, so heartbeats get two thirds of the loop, however long the
     # backlog
     desk = desk_over(backlog(), times=60.0)
-    before = desk.runtime.t
-    desk.place_all(most=constants.BATCH_EVENTS_MAX)
-    assert desk.last_round.cut_short and abs(desk.last_round_s - (desk.runtime.t - before)) < 1e-6
-    assert constants.PLACEMENT_PAUSE_FACTOR * desk.last_round_s > constants.BATCH_INTERVAL_MIN
+    before = desk.runtime.now_s
+    desk.place_tasks(most=constants.BATCH_EVENTS_MAX)
+    assert (
+        desk.last_round.cut_short and abs(desk.last_round_duration_s - (desk.runtime.now_s - before)) < 1e-6
+    )
+    assert constants.PLACEMENT_PAUSE_FACTOR * desk.last_round_duration_s > constants.BATCH_INTERVAL_MIN
--- a/tests/test_taken_back.py
+++ b/tests/test_taken_back.py
@@ -12,7 +12,7 @@
     """A primary's orders to workers; `held` collects the events that it holds for its next batch."""
 
     def __init__(self, store):
-        self.record, self.gangs_taken_back, self.held = store.record, set(), []
+        self.record, self.revoked_gang_runs, self.held = store.record, set(), []
 
     def queue_event(self, *, event, callback=None):
         self.held.append(event)
--- a/tests/test_tenant_shares.py
+++ b/tests/test_tenant_shares.py
@@ -57,7 +57,7 @@
     rounds.job_of("t", tasks=10)
     rounds.job_of("u", "k", tasks=2)
     placement_round, starts = rounds.run_round()
-    assert len(starts) == 5 and placement_round.why_of(("j", "0.0")) == "tenant"
+    assert len(starts) == 5 and placement_round.wait_reason_of(("j", "0.0")) == "tenant"
 
 
 def test_a_tenant_at_its_limit_holds_back_no_worker():
@@ -92,7 +92,7 @@
     rounds.job_of("t", "gang", tasks=9, gang=True)
     rounds.job_of("t", "k", tasks=9)
     placement_round, starts = rounds.run_round(after_ms=LONG_MS)
-    assert placement_round.why_of(("gang", "0.0")) == "tenant never" and len(starts) == 3
+    assert placement_round.wait_reason_of(("gang", "0.0")) == "tenant never" and len(starts) == 3
     assert rounds.steps_with_turn() == {} and rounds.kept == {}
 
 
@@ -231,7 +231,7 @@
     placement_round, _ = rounds.run_round()
     assert rounds.steps_with_turn() == {"t": ("gang", "0.0")}
     rounds.do(["cancel", "gang"])
-    assert placement_round.why_of(("k", "0.0")) == "tenant"
+    assert placement_round.wait_reason_of(("k", "0.0")) == "tenant"
     rounds.do(["cancel", "k"], ["cancel", "small"], ["forget"])
     rounds.job_of("t", "later")
-    assert placement_round.why_of(("later", "0.0")) in ("", "turn", "tenant")
+    assert placement_round.wait_reason_of(("later", "0.0")) in ("", "turn", "tenant")
--- a/tests/weak_parts.py
+++ b/tests/weak_parts.py
@@ -169,14 +169,14 @@
 class StaleConfigurationDesk(Desk):
     """Places by the configuration of 8 s ago."""
 
-    def place_all(self, *, most, **options):
+    def place_tasks(self, *, most, **options):
         now, configuration = self.runtime.now(), self.record.charter
         self.past = [version for version in getattr(self, "past", []) if now - version[0] < 8] + [
             (now, configuration)
         ]
         self.record.charter = configuration | {"rows": configuration["rows"] | self.past[0][1]["rows"]}
         try:
-            return super().place_all(most=most, **options)
+            return super().place_tasks(most=most, **options)
         finally:
             self.record.charter = configuration
 
