--- a/hollowhall/mast/__init__.py
+++ b/hollowhall/mast/__init__.py
@@ -149,16 +149,16 @@
             return lambda: None
         self.gauges.set_load(n=self.pending_requests.n, lag=self.loop_lag)
         if self.leaving:
-            self.finish(s=slot, o=Leaving(who=self.settings.id))
+            self.finish(slot=slot, result=Leaving(who=self.settings.id))
         else:
             self.route(call=call, slot=slot)
         return lambda: self.pending_requests.take(index=slot[0], generation=slot[1])
 
-    def finish(self, *, s, o):
+    def finish(self, *, slot, result):
         """Answers the request in slot s with result o; does nothing if the slot was freed."""
-        callback = self.pending_requests.take(index=s[0], generation=s[1])
+        callback = self.pending_requests.take(index=slot[0], generation=slot[1])
         if callback is not None:
-            callback(o)
+            callback(result)
 
     def forward(self, *, op, request, slot, convert, wait=constants.CLIENT_REQUEST_TIMEOUT, attempts=2):
         """Forwards a request to the primary. Sends it once more if the first attempt was certainly not
@@ -166,7 +166,7 @@
         turns a successful result into the one that is answered; wait: s."""
         address = self.primary
         if not address:
-            self.finish(s=slot, o=NotPrimary())
+            self.finish(slot=slot, result=NotPrimary())
             return
         self.way(op=op, addr=address).send_request(
             op=op,
@@ -189,7 +189,7 @@
                     ),
                 )
                 return
-        self.finish(s=slot, o=convert(result) if result.ok else result)
+        self.finish(slot=slot, result=convert(result) if result.ok else result)
 
     def ask_store(self, *, op, request, slot, convert, safe):
         """Sends a request to the store's leader from a task and answers the slot with the result. With
@@ -199,7 +199,7 @@
             result = await self.store(op=op, request=request, safe=safe, wait=2.0, total=2.5)
             if isinstance(result, NotLeader):
                 result = Unsure(why="store") if not safe else result
-            self.finish(s=slot, o=convert(result) if result.ok else result)
+            self.finish(slot=slot, result=convert(result) if result.ok else result)
 
         self.run_task(coroutine=go(), name=op)
 
--- a/hollowhall/mast/door.py
+++ b/hollowhall/mast/door.py
@@ -15,8 +15,8 @@
     """Decides which job submissions and reads are refused under load."""
 
     def open_load_shedding(self):
-        self.shed_f, self.admitted_recently, self.decayed_at = 0.0, 0.0, self.runtime.now()
-        self.cut, self.cut_at, self.came = 0.0, self.runtime.now(), {}
+        self.shed_recently, self.admitted_recently, self.decayed_at = 0.0, 0.0, self.runtime.now()
+        self.refused_fraction, self.fraction_updated_at, self.came = 0.0, self.runtime.now(), {}
         self.shed_since_log, self.shed_logged_at = 0, -constants.LOAD_LOG_INTERVAL
 
     def full(self):
@@ -25,7 +25,7 @@
             self.pending_requests.n / self.settings.shed_at, self.loop_lag / constants.GATEWAY_FULL_LAG
         )
 
-    def crowded(self, *, lane, s, read=False):
+    def shed_if_overloaded(self, *, lane, slot, read=False):
         """Whether this request was refused, and answered with Shed. Reads are refused whenever the load
         is above 1.0, whatever their urgency."""
         urgency = self.charter["rows"].get(lane, {}).get("urgency", 0)
@@ -46,17 +46,17 @@
                     in_flight=self.pending_requests.n,
                 )
                 self.shed_logged_at, self.shed_since_log = self.runtime.now(), 0
-            self.shed_f += 1.0
+            self.shed_recently += 1.0
             self.finish(
-                s=s,
-                o=Shed(
+                slot=slot,
+                result=Shed(
                     lane=lane,
                     after=min(
                         constants.RETRY_AFTER_MAX,
                         constants.RETRY_AFTER
                         + int(
                             constants.SHED_COUNTS_HALF_LIFE
-                            * self.shed_f
+                            * self.shed_recently
                             / (self.admitted_recently + 1.0)
                             * 2 ** (-urgency / constants.URGENCY_HALVING_RETRY_AFTER)
                         ),
@@ -71,7 +71,7 @@
         """Whether a submission of this urgency falls into the refused fraction. All less urgent ones are
         refused before any of this urgency; of this one at random as many as fill the rest."""
         lower = sum(count for other, count in self.came.items() if other < urgency)
-        remaining = self.cut * sum(self.came.values()) - lower
+        remaining = self.refused_fraction * sum(self.came.values()) - lower
         return remaining > 0 and self.runtime.rng.random() * self.came[urgency] < remaining
 
     def decay_counts(self):
@@ -79,16 +79,18 @@
         fraction changes with the load and the time elapsed, not with the number of requests."""
         now = self.runtime.now()
         factor = 0.5 ** ((now - self.decayed_at) / constants.SHED_COUNTS_HALF_LIFE)
-        self.shed_f, self.admitted_recently, self.decayed_at = (
-            self.shed_f * factor,
+        self.shed_recently, self.admitted_recently, self.decayed_at = (
+            self.shed_recently * factor,
             self.admitted_recently * factor,
             now,
         )
         self.came = {urgency: count * factor for urgency, count in self.came.items() if count * factor > 0.01}
-        elapsed, self.cut_at = min(1.0, now - self.cut_at), now
+        elapsed, self.fraction_updated_at = min(1.0, now - self.fraction_updated_at), now
         step = (
             constants.REFUSED_FRACTION_RISE
             if self.full() > constants.LOAD_FULL
             else -constants.REFUSED_FRACTION_FALL
         )
-        self.cut = max(0.0, min(constants.REFUSED_FRACTION_MAX, self.cut + step * elapsed))
+        self.refused_fraction = max(
+            0.0, min(constants.REFUSED_FRACTION_MAX, self.refused_fraction + step * elapsed)
+        )
--- a/hollowhall/mast/operators.py
+++ b/hollowhall/mast/operators.py
@@ -57,14 +57,14 @@
 class OperatorsMixin:
     """Handlers of the operators' HTTP requests."""
 
-    def charter_get(self, call, s):
+    def charter_get(self, call, slot):
         self.ask_store(
-            op="charter_now", request={"public": True}, slot=s, safe=True, convert=lambda result: result
+            op="charter_now", request={"public": True}, slot=slot, safe=True, convert=lambda result: result
         )
 
-    def charter_edit(self, call, s):
+    def charter_edit(self, call, slot):
         data = load(EDIT, self.body(call))
-        self.run_task(coroutine=self.edit_rows(data=data, whole=call.method == "PUT", slot=s), name="edit")
+        self.run_task(coroutine=self.edit_rows(data=data, whole=call.method == "PUT", slot=slot), name="edit")
 
     async def edit_rows(self, *, data, whole, slot):
         """Validates a configuration change and sends it to the store. A large table is validated in
@@ -78,11 +78,11 @@
             except StopIteration as error:
                 rows = error.value
             except Raised as error:
-                self.finish(s=slot, o=error.failure)
+                self.finish(slot=slot, result=error.failure)
                 return
             except Exception as error:  # a fault in one request must not end the gateway
                 self.log_exception(error)
-                self.finish(s=slot, o=Broken(where="mast", why=type(error).__name__))
+                self.finish(slot=slot, result=Broken(where="mast", why=type(error).__name__))
                 return
             else:
                 await asyncio.sleep(0)
@@ -90,10 +90,10 @@
         try:
             tenants = check_tenants(data["tenants"]) if "tenants" in data else None
         except Raised as error:
-            self.finish(s=slot, o=error.failure)
+            self.finish(slot=slot, result=error.failure)
             return
         if whole and ("rows" not in data or None in [*rows.values(), *(tenants or {}).values()]):
-            self.finish(s=slot, o=BadInput(errors=[["rows", "a whole table has no null rows"]]))
+            self.finish(slot=slot, result=BadInput(errors=[["rows", "a whole table has no null rows"]]))
             return
         edit = {"base": data["base"], "rows": rows, "whole": whole}
         if tenants is None:
@@ -107,19 +107,19 @@
                 request=edit | {"tenants": tenants},
             )
 
-    def members_get(self, call, s):
-        self.ask_store(op="members_now", request={}, slot=s, safe=True, convert=lambda result: result)
+    def members_get(self, call, slot):
+        self.ask_store(op="members_now", request={}, slot=slot, safe=True, convert=lambda result: result)
 
-    def members_change(self, call, s):
+    def members_change(self, call, slot):
         self.ask_store(
             op="members",
-            slot=s,
+            slot=slot,
             safe=False,
             convert=lambda result: result,
             request=load(MEMBERS, self.body(call)),
         )
 
-    def fleet_get(self, call, s):
+    def fleet_get(self, call, slot):
         def then(result):
             return Success(
                 value=result.value
@@ -131,13 +131,13 @@
                 }
             )
 
-        self.forward(op="workers", request={}, slot=s, convert=then)
+        self.forward(op="workers", request={}, slot=slot, convert=then)
 
-    def snapshot(self, call, s):
+    def snapshot(self, call, slot):
         def then(result):
             record = result.value["record"]
             record["jobs"] = jobs_of(record)
             record.pop("blobs", None)
             return result
 
-        self.forward(op="picture", request={}, slot=s, convert=then)
+        self.forward(op="picture", request={}, slot=slot, convert=then)
--- a/hollowhall/mast/requests.py
+++ b/hollowhall/mast/requests.py
@@ -39,7 +39,7 @@
             callback(Full(where="mast", after=constants.RETRY_AFTER))
             return lambda: None
         if self.leaving:
-            self.finish(s=slot, o=Leaving(who=self.settings.id))
+            self.finish(slot=slot, result=Leaving(who=self.settings.id))
             return lambda: None
         self.gauges.set_load(n=self.pending_requests.n, lag=self.loop_lag)
         self.try_request(Request(op=op, body=request, slot=slot, deadline=self.runtime.now() + wait))
@@ -86,7 +86,7 @@
             self.retry_later(request=request, result=result)
             return
         if result.ok or not isinstance(result, (NotPrimary, CircuitDown, Late, Unsure, Broken)):
-            self.finish(s=request.slot, o=result)
+            self.finish(slot=request.slot, result=result)
             return
         request.unsure = request.unsure or result.taken != "no"
         hint = getattr(result, "hint", "")
@@ -102,7 +102,7 @@
     def give_up(self, request):
         """Ends a request without an answer: Unsure if an attempt of a change may have been accepted."""
         unsure = request.unsure and request.op not in READS
-        self.finish(s=request.slot, o=Unsure(why="no primary in time") if unsure else NotPrimary())
+        self.finish(slot=request.slot, result=Unsure(why="no primary in time") if unsure else NotPrimary())
 
     def is_ready(self):
         """Success if this gateway can serve: it has a configuration and a connection to the store."""
--- a/hollowhall/mast/routes.py
+++ b/hollowhall/mast/routes.py
@@ -66,18 +66,18 @@
         try:
             self.route_to(call=call, parts=[x for x in call.path.split("/") if x], slot=slot)
         except Raised as e:
-            self.finish(s=slot, o=e.failure)
+            self.finish(slot=slot, result=e.failure)
         except Exception as e:  # a fault must not leave the client without an answer
             self.log_exception(e)
-            self.finish(s=slot, o=Broken(where="mast", why=type(e).__name__))
+            self.finish(slot=slot, result=Broken(where="mast", why=type(e).__name__))
 
     def route_to(self, *, call, parts, slot):
         if parts == ["healthz"]:
-            self.finish(s=slot, o=Success(value={"ok": True}))
+            self.finish(slot=slot, result=Success(value={"ok": True}))
         elif parts == ["readyz"]:
-            self.finish(s=slot, o=self.readiness())
+            self.finish(slot=slot, result=self.readiness())
         elif parts == ["metrics"]:
-            self.finish(s=slot, o=Success(value=self.gauges.text(version=self.charter["version"])))
+            self.finish(slot=slot, result=Success(value=self.gauges.text(version=self.charter["version"])))
         elif parts[:1] != ["v1"] or len(parts) < 2:
             raise Raised(Unknown(what="path", id=call.path))
         elif parts[1] == "jobs" and len(parts) == 3:
@@ -115,7 +115,7 @@
         else:
             raise Raised(Unknown(what="path", id=call.path))
 
-    def handler_for(self, call, s, **handlers):
+    def handler_for(self, call, slot, **handlers):
         handler = handlers.get(call.method)
         if handler is None:
             raise Raised(BadMethod(method=call.method))
@@ -160,26 +160,29 @@
         """Charges the CPU time of validating a job, in the simulation."""
         self.runtime.spend(s=constants.CHECK_JOB_CPU_TIME)
 
-    def job_get(self, call, s, name):
-        if self.crowded(lane="", s=s, read=True):
+    def job_get(self, call, slot, name):
+        if self.shed_if_overloaded(lane="", slot=slot, read=True):
             return
         self.forward(
             op="read",
             request=self.named_job(call=call, name=name) | {"tasks": call.query.get("tasks") != "0"},
-            slot=s,
+            slot=slot,
             convert=lambda result: result,
         )
 
-    def job_drop(self, call, s, name):
+    def job_drop(self, call, slot, name):
         self.forward(
-            op="cancel", request=self.named_job(call=call, name=name), slot=s, convert=lambda result: result
+            op="cancel",
+            request=self.named_job(call=call, name=name),
+            slot=slot,
+            convert=lambda result: result,
         )
 
-    def job_list(self, call, s):
+    def job_list(self, call, slot):
         query = call.query
         self.forward(
             op="list",
-            slot=s,
+            slot=slot,
             convert=lambda result: result,
             request={
                 "after": query.get("after", ""),
@@ -192,7 +195,7 @@
 
     # --- workers
 
-    def beat(self, call, s, worker_id):
+    def beat(self, call, slot, worker_id):
         check_name(worker_id)
         report = load(BEAT, self.body(call))
         room = report.pop("room")
@@ -210,18 +213,18 @@
                 | {"stops": [str(x) for x in answer["stops"]], "live": [str(x) for x in answer["live"]]}
             )
 
-        self.forward(op="beat", request=report, slot=s, wait=constants.REQUEST_TIMEOUT, convert=then)
+        self.forward(op="beat", request=report, slot=slot, wait=constants.REQUEST_TIMEOUT, convert=then)
 
-    def worker_leave(self, call, s, worker_id):
+    def worker_leave(self, call, slot, worker_id):
         check_name(worker_id)
         data = load(LEAVE, self.body(call))
 
         def then(result):
             return result if result.value["result"] == "ok" else Unknown(what="worker", id=worker_id)
 
-        self.forward(op="leave", request={"id": worker_id, "boot": data["boot"]}, slot=s, convert=then)
+        self.forward(op="leave", request={"id": worker_id, "boot": data["boot"]}, slot=slot, convert=then)
 
-    def worker_gone(self, call, s, worker_id):
+    def worker_gone(self, call, slot, worker_id):
         check_name(worker_id)
         load(LEAVE, self.body(call))
-        self.forward(op="gone", request={"id": worker_id}, slot=s, convert=lambda result: result)
+        self.forward(op="gone", request={"id": worker_id}, slot=slot, convert=lambda result: result)
--- a/hollowhall/mast/shell.py
+++ b/hollowhall/mast/shell.py
@@ -13,9 +13,9 @@
     """Opens and closes the HTTP listener."""
 
     async def open_http(self):
-        self.shell = None
+        self.http_listener = None
         if self.settings.http:
-            self.shell = HttpListener(
+            self.http_listener = HttpListener(
                 runtime=self.runtime,
                 addr=self.settings.http,
                 handler=self.take,
@@ -26,8 +26,8 @@
                 too_large=lambda limit: self.reply(TooLarge(limit=limit)),
                 full=lambda where: self.reply(Crowded(where=where, after=constants.RETRY_AFTER)),
             )
-            await self.shell.open()
+            await self.http_listener.open()
 
     async def close_http(self):
-        if self.shell is not None:
-            await self.shell.close()
+        if self.http_listener is not None:
+            await self.http_listener.close()
--- a/hollowhall/mast/tenants.py
+++ b/hollowhall/mast/tenants.py
@@ -27,7 +27,7 @@
             return {"name": name}
         return {"name": name, "tenant": self.caller(call) if key else ""}
 
-    def submit_job(self, call, s, name):
+    def submit_job(self, call, slot, name):
         """Submits a job: authenticates the caller, sheds load, validates the job and charges its cost."""
         check_name(name)
         body = self.body(call)
@@ -35,20 +35,20 @@
             raise Raised(BadInput(errors=[["tenant", "is told by the caller's key"]]))
         lane = body["lane"] if isinstance(body.get("lane"), str) else ""
         tenant = self.caller(call, lane=lane)
-        if self.crowded(lane=lane, s=s):  # before validation, which is most of the work
+        if self.shed_if_overloaded(lane=lane, slot=slot):  # before validation, which is most of the work
             return
         self.spend_check()
         spec, digest = check_job(body | ({"tenant": tenant} if tenant else {}))
         admitted = self.admit(tenant=tenant, spec=spec)
         if not admitted.ok:
-            self.finish(s=s, o=admitted)
+            self.finish(slot=slot, result=admitted)
             return
         on_result = partial(partial, self.submitted, tenant=tenant, charge=admitted.value)
         self.pending_requests.wrap(
-            index=s[0], generation=s[1], around=lambda callback: on_result(callback=callback)
+            index=slot[0], generation=slot[1], around=lambda callback: on_result(callback=callback)
         )
         request = {"name": name, "spec": spec, "digest": digest}
-        self.forward(op="job", request=request, slot=s, convert=lambda result: result)
+        self.forward(op="job", request=request, slot=slot, convert=lambda result: result)
 
-    def tenants_get(self, call, s):
-        self.forward(op="tenants", request={}, slot=s, convert=lambda result: result)
+    def tenants_get(self, call, slot):
+        self.forward(op="tenants", request={}, slot=slot, convert=lambda result: result)
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -16,7 +16,7 @@
 class AdmitsAll(Mast):
     """A gateway that refuses nothing and sends everything over one connection."""
 
-    def crowded(self, *, lane, s, read=False):
+    def shed_if_overloaded(self, *, lane, slot, read=False):
         return False
 
     def way(self, *, op, addr):
@@ -42,12 +42,12 @@
         await start()
         gateway = world.nodes["mast-1"].daemon
         gateway.full = lambda: 1.0  # full, so that the share to refuse stays as it is
-        gateway.finish = lambda s, o: None
+        gateway.finish = lambda slot, result: None
         for _ in range(300):
             for lane, count in (("hail", urgent), ("tiles", usual)):
                 for _ in range(count):
-                    gateway.cut, gateway.cut_at = cut, gateway.runtime.now()
-                    admitted[lane] += not gateway.crowded(lane=lane, s=None)
+                    gateway.refused_fraction, gateway.fraction_updated_at = cut, gateway.runtime.now()
+                    admitted[lane] += not gateway.shed_if_overloaded(lane=lane, slot=None)
 
     world.run(go())
     return admitted["hail"] / 300 / urgent, admitted["tiles"] / 300 / usual
@@ -157,7 +157,7 @@
     async def go():
         await start()
         gateway = world.nodes["mast-1"].daemon
-        gateway.shed_f = 30.0
+        gateway.shed_recently = 30.0
         gateway.settings.shed_at = 0.001
         for _n in range(20):
             gateway.take(
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -19,7 +19,7 @@
 BEAT = {"boot": "b1", "kind": "tile", "zone": "z1", "rack": "r1", "room": {"cores": 8}}
 
 
-class Hall:
+class Cluster:
     """A cluster of three daemons, and an HTTP client of its gateway."""
 
     async def open(self, folder):
@@ -27,7 +27,7 @@
             f"127.0.0.1:{port}" for port in free_ports(4)
         ]
         settings = {"seeds": [store_address]}
-        self.addr, self.ds = (
+        self.addr, self.daemons = (
             store_address,
             [
                 StoreMember(
@@ -55,7 +55,7 @@
                 ),
             ],
         )
-        for daemon in self.ds:
+        for daemon in self.daemons:
             await daemon.start()
         self.base, self.session, self.seq = f"http://{http_address}", aiohttp.ClientSession(), 0
         for _ in range(400):
@@ -73,7 +73,7 @@
 
     async def close(self):
         await self.session.close()
-        for daemon in reversed(self.ds):
+        for daemon in reversed(self.daemons):
             await daemon.stop()
 
     async def ask(self, method, path, body=None, **kw):
@@ -91,7 +91,7 @@
     """Runs a test's coroutine with a new cluster."""
 
     async def go():
-        hall = Hall()
+        hall = Cluster()
         try:
             await hall.open(tmp_path)
             await asyncio.wait_for(scene(hall), 60)
@@ -224,7 +224,7 @@
 @pytest.mark.parametrize("gone", ["desk", "almanac"])
 def test_an_ask_that_cannot_be_served_is_told_at_once_when_to_come_back(tmp_path, gone):
     async def scene(hall):
-        await hall.ds[1 if gone == "desk" else 0].stop()
+        await hall.daemons[1 if gone == "desk" else 0].stop()
         started_at = asyncio.get_running_loop().time()
         while True:
             status, answer, headers = await hall.ask("PUT", "/v1/jobs/late", JOB)
--- a/tests/test_limits_shares.py
+++ b/tests/test_limits_shares.py
@@ -43,7 +43,7 @@
 
 def test_a_mast_says_crowded_in_its_own_words(tmp_path):
     async def scene(fleet):
-        connections = fleet.ds[2].shell.connections
+        connections = fleet.daemons[2].http_listener.connections
         connections.bounds, connections.bytes = Bounds(bodies=10), 10
         status, body, headers = await fleet.ask("PUT", "/v1/jobs/j1", {"lane": "tiles"})
         assert (status, body["problem"], body["taken"]) == (503, "Crowded", "no") and headers["Retry-After"]
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -53,10 +53,10 @@
     def way(self, *, op, addr):
         return self.link_
 
-    def finish(self, *, s, o):
-        callback = self.pending_requests.take(index=s[0], generation=s[1])
+    def finish(self, *, slot, result):
+        callback = self.pending_requests.take(index=slot[0], generation=slot[1])
         if callback is not None:
-            callback(o)
+            callback(result)
 
 
 def play(results, *, op="job", wait=2.0, then=lambda mast: None):
--- a/tests/weak.py
+++ b/tests/weak.py
@@ -184,8 +184,8 @@
 class StaleConfigurationGateway(Mast):
     """Answers reads of the configuration from a copy that may be old."""
 
-    def charter_get(self, call, s):
-        self.finish(s=s, o=Success(value=self.charter))
+    def charter_get(self, call, slot):
+        self.finish(slot=slot, result=Success(value=self.charter))
 
     async def follow_charter(self):
         while True:
