--- a/hollowhall/explore/replica.py
+++ b/hollowhall/explore/replica.py
@@ -44,19 +44,19 @@
         for file in self.files.values():
             if keep_writes:
                 file.settle()
-            file.pending = None
-        if keep_renames and self.half is not None:
-            self.wholes[self.half[0]] = self.half[1]
-        self.half, self.waiting_syncs = None, []
+            file.unsynced = None
+        if keep_renames and self.unsynced_whole_file is not None:
+            self.whole_files[self.unsynced_whole_file[0]] = self.unsynced_whole_file[1]
+        self.unsynced_whole_file, self.waiting_syncs = None, []
 
     def end_of_process(self):
         """The process ends; its writes survive in the machine's page cache."""
         for file in self.files.values():
             file.settle()
-        self.half, self.waiting_syncs = None, []
+        self.unsynced_whole_file, self.waiting_syncs = None, []
 
     def copy_from(self, other):
-        self.files, self.wholes, self.half = {}, dict(other.wholes), None
+        self.files, self.whole_files, self.unsynced_whole_file = {}, dict(other.whole_files), None
         for name, file in other.files.items():
             self.file(name=name, size=file.size).safe[:] = file.safe
 
--- a/hollowhall/sim/disk.py
+++ b/hollowhall/sim/disk.py
@@ -9,7 +9,7 @@
     """A file of fixed size: `safe` is what is synced, `pending` the write under way."""
 
     def __init__(self, *, disk, size):
-        self.disk, self.size, self.safe, self.pending = disk, size, bytearray(size), None
+        self.disk, self.size, self.safe, self.unsynced = disk, size, bytearray(size), None
 
     def read(self):
         self.settle()
@@ -17,22 +17,22 @@
 
     def settle(self):
         """Completes the pending write, as the page cache does when only the process has ended."""
-        if self.pending is not None:
-            offset, data = self.pending
+        if self.unsynced is not None:
+            offset, data = self.unsynced
             self.safe[offset : offset + len(data)] = data
-            self.pending = None
+            self.unsynced = None
 
     def power_cut(self, rng):
         """Keeps none, all or a random prefix of the pending write."""
-        if self.pending is not None:
-            offset, data = self.pending
+        if self.unsynced is not None:
+            offset, data = self.unsynced
             length = rng.choice((0, len(data), rng.randrange(len(data) + 1)))
             self.safe[offset : offset + length] = data[:length]
-            self.pending = None
+            self.unsynced = None
 
     async def put(self, *, off, data):
         self.settle()
-        self.pending = (off, bytes(data))
+        self.unsynced = (off, bytes(data))
         await self.disk.wait()
         self.settle()
 
@@ -44,9 +44,9 @@
     """The disk of one machine: files written in place, and files replaced whole (`wholes`)."""
 
     def __init__(self, *, rng):
-        self.rng, self.files, self.wholes = rng, {}, {}
+        self.rng, self.files, self.whole_files = rng, {}, {}
         self.full, self.stalled, self.slow, self.syncs = False, None, 0.0, 0
-        self.half = None
+        self.unsynced_whole_file = None
 
     async def wait(self):
         """Takes the time of one sync. Raises OSError when the disk is full."""
@@ -63,24 +63,24 @@
         return self.files[name]
 
     def names(self):
-        return sorted(self.files) + sorted(self.wholes)
+        return sorted(self.files) + sorted(self.whole_files)
 
     def get(self, *, name):
-        return self.wholes.get(name)
+        return self.whole_files.get(name)
 
     async def whole(self, *, name, data):
         """Replaces a file atomically: a power cut leaves the old content or the new."""
-        self.half = (name, bytes(data))
+        self.unsynced_whole_file = (name, bytes(data))
         await self.wait()
-        self.wholes[name], self.half = bytes(data), None
+        self.whole_files[name], self.unsynced_whole_file = bytes(data), None
 
     def power_cut(self):
         for file in self.files.values():
             file.power_cut(self.rng)
-        if self.half is not None and self.rng.random() < 0.5:
-            self.wholes[self.half[0]] = self.half[1]
-        self.half = None
+        if self.unsynced_whole_file is not None and self.rng.random() < 0.5:
+            self.whole_files[self.unsynced_whole_file[0]] = self.unsynced_whole_file[1]
+        self.unsynced_whole_file = None
 
     def lose(self):
         """Replaces the disk by an empty one. Files that an ended process holds open are detached."""
-        self.files, self.wholes, self.half = {}, {}, None
+        self.files, self.whole_files, self.unsynced_whole_file = {}, {}, None
--- a/hollowhall/sim/faults.py
+++ b/hollowhall/sim/faults.py
@@ -28,10 +28,13 @@
 ALL = CORE + NET + WORK + CROWD
 
 
-def schedule(*, seed, kinds=ALL, n=10, start=4.0, end=34.0):
+def schedule(*, seed, kinds=ALL, fault_count=10, start=4.0, end=34.0):
     """Draws `n` faults: a sorted list of (second, name of the fault, seed of the fault)."""
     rng = random.Random(seed * 7919 + 13)
-    plan = [(round(rng.uniform(start, end), 3), rng.choice(kinds), rng.getrandbits(30)) for _ in range(n)]
+    plan = [
+        (round(rng.uniform(start, end), 3), rng.choice(kinds), rng.getrandbits(30))
+        for _ in range(fault_count)
+    ]
     return sorted(plan)
 
 
@@ -52,9 +55,9 @@
         await asyncio.gather(*self.request_tasks)
 
     async def inject(self, time, what, fault_seed):
-        await asyncio.sleep(max(0.0, time - self.world.loop.vt))
+        await asyncio.sleep(max(0.0, time - self.world.loop.virtual_time))
         self.world.hist.note("fault", what=what)
-        self.world.log.append(f"{self.world.loop.vt:.6f} fault {what} {fault_seed}")
+        self.world.log.append(f"{self.world.loop.virtual_time:.6f} fault {what} {fault_seed}")
         await getattr(self, what)(random.Random(fault_seed))
 
     def pick(self, rng, names, default):
@@ -170,11 +173,11 @@
         self.world.losing, name, address = True, f"almanac-{number}", f"10.0.0.{number}:7000"
         self.world.add_card(name, "almanac", f"core-{number}", address, zone=number, data="/d", join=True)
         self.world.start(name)
-        old, end = rng.choice(members), self.world.loop.vt + 60
+        old, end = rng.choice(members), self.world.loop.virtual_time + 60
         old_address, killed_first = self.world.cards[old]["addr"], rng.random() < 0.4
         if killed_first:
             self.world.kill(old)
-        while self.world.loop.vt < end:
+        while self.world.loop.virtual_time < end:
             memberships = await asyncio.gather(
                 *[operator.replace(old_address, address) for operator in self.operators]
             )
@@ -234,8 +237,8 @@
 
     async def wall_jump(self, rng):
         machine = f"core-{rng.randint(1, 3)}"
-        self.world.walls[machine] = self.world.walls.get(machine, 0) + rng.choice((-1, 1)) * rng.choice(
-            (200, 5000, 3_600_000)
-        )
+        self.world.wall_offsets_ms[machine] = self.world.wall_offsets_ms.get(machine, 0) + rng.choice(
+            (-1, 1)
+        ) * rng.choice((200, 5000, 3_600_000))
         await asyncio.sleep(rng.uniform(1, 8))
-        self.world.walls[machine] = 0
+        self.world.wall_offsets_ms[machine] = 0
--- a/hollowhall/sim/faults_sharp.py
+++ b/hollowhall/sim/faults_sharp.py
@@ -102,8 +102,8 @@
         await asyncio.sleep(2.0)
         for worker, card in zip(workers, cards):
             if self.world.mates.get(worker.id) is worker:
-                self.world.crash_mate(worker.id)
-                self.world.add_mate(card)
+                self.world.crash_worker(worker.id)
+                self.world.add_worker_from_card(card)
 
     async def late_beat(self, rng):
         """A heartbeat of a worker's previous boot arrives after its new boot has been assigned work."""
@@ -120,8 +120,10 @@
         await asyncio.sleep(0.6)
         for worker in workers:
             if self.world.mates.get(worker.id) is worker:
-                self.world.crash_mate(worker.id)
-                self.world.add_mate((worker.id, worker.kind, worker.zone, worker.rack, worker.room))
+                self.world.crash_worker(worker.id)
+                self.world.add_worker_from_card(
+                    (worker.id, worker.kind, worker.zone, worker.rack, worker.room)
+                )
         await asyncio.sleep(rng.uniform(0.5, 3))
         self.world.pause(gateway, on=False, sockets_first=rng.random() < 0.5)
 
@@ -175,8 +177,8 @@
             return
         queue = sorted(self.world.shape.lanes)[0]
         self.world.pause(leader)
-        end = self.world.loop.vt + rng.uniform(3, 6)
-        while self.world.loop.vt < end:
+        end = self.world.loop.virtual_time + rng.uniform(3, 6)
+        while self.world.loop.virtual_time < end:
             await self.edit_one(
                 self.operators[0], rng, {queue: self.world.shape.lanes[queue] | {"weight": rng.randint(1, 9)}}
             )
--- a/hollowhall/sim/faults_work.py
+++ b/hollowhall/sim/faults_work.py
@@ -18,10 +18,10 @@
             return
         worker = self.world.mates[worker_id]
         card = (worker.id, worker.kind, worker.zone, worker.rack, worker.room)
-        self.world.crash_mate(worker_id)
+        self.world.crash_worker(worker_id)
         await asyncio.sleep(rng.uniform(0.1, 12))
         if worker_id not in self.world.mates:
-            self.world.add_mate(card)
+            self.world.add_worker_from_card(card)
 
     async def set_for_a_while(self, rng, attribute, value, normal):
         """Sets a fault attribute of a random worker for some seconds."""
@@ -64,10 +64,10 @@
         self.world.worker_nodes[worker_id].run(worker.leave())
         await asyncio.sleep(rng.uniform(2.5, 8))
         if self.world.mates.get(worker_id) is worker:
-            self.world.crash_mate(worker_id)
+            self.world.crash_worker(worker_id)
             await asyncio.sleep(rng.uniform(0.5, 5))
             if worker_id not in self.world.mates:
-                self.world.add_mate(card)
+                self.world.add_worker_from_card(card)
 
     async def mate_cut(self, rng):
         worker_id = self.random_worker(rng)
@@ -98,20 +98,23 @@
             return
         worker = self.world.mates[worker_id]
         await self.operators[0].gone(worker_id)
-        self.world.crash_mate(worker_id)
-        started = self.world.loop.vt
-        while self.world.loop.vt - started < 30 and await self.operators[0].gone(worker_id) not in (200, 404):
+        self.world.crash_worker(worker_id)
+        started = self.world.loop.virtual_time
+        while self.world.loop.virtual_time - started < 30 and await self.operators[0].gone(worker_id) not in (
+            200,
+            404,
+        ):
             await asyncio.sleep(1.0)
         await asyncio.sleep(rng.uniform(0.1, 5))
         if worker_id not in self.world.mates:
-            self.world.add_mate((worker.id, worker.kind, worker.zone, worker.rack, worker.room))
+            self.world.add_worker_from_card((worker.id, worker.kind, worker.zone, worker.rack, worker.room))
 
     # --- clients
 
     def send(self, body, **kw):
         self.request_tasks.append(
             asyncio.ensure_future(
-                self.requester.one(body=body, until=self.world.loop.vt + self.calm + 15, **kw)
+                self.requester.one(body=body, until=self.world.loop.virtual_time + self.calm + 15, **kw)
             )
         )
 
@@ -193,7 +196,9 @@
             )
 
     async def racked(self, rng):
-        worker = rng.choice([card for card in shapes.crew_of(self.world.shape) if card[1] == self.kind()[0]])
+        worker = rng.choice(
+            [card for card in shapes.workers_of(self.world.shape) if card[1] == self.kind()[0]]
+        )
         for lost in ("auto", "wait", "restart", "auto"):
             self.send(
                 {
--- a/hollowhall/sim/loop.py
+++ b/hollowhall/sim/loop.py
@@ -19,7 +19,7 @@
     def select(self, timeout):
         if timeout is None:
             raise RuntimeError("the simulation has nothing left to do")
-        self.loop.vt += timeout
+        self.loop.virtual_time += timeout
         return []
 
     def close(self):
@@ -31,14 +31,14 @@
 
     def __init__(self):
         super().__init__()
-        self.vt, self.steps = 0.0, 0
+        self.virtual_time, self.steps = 0.0, 0
         self._selector = VirtualSelector(self)
         self._clock_resolution = 1e-9
         self.set_exception_handler(self.record_exception)
         self.complaints = []
 
     def time(self):
-        return self.vt
+        return self.virtual_time
 
     def record_exception(self, loop, context):
         exception = context.get("exception")
@@ -78,7 +78,7 @@
             return asyncio.Handle(callback, args, self)
         return super().call_at(when, self.on_node(callback, timer=True), *args, context=context)
 
-    def raw_at(self, when, function):
+    def call_outside_nodes(self, when, function):
         """Calls a function of the simulation itself, which takes no node's time."""
         super().call_at(when, function, context=contextvars.Context())
 
@@ -101,16 +101,19 @@
 
     def work(self, callback, args, timer):
         """Runs a callback on the one CPU: it takes time, and callbacks that come meanwhile queue up."""
-        if self.backlog or self.free > self.loop.vt:
+        if self.backlog or self.free > self.loop.virtual_time:
             self.backlog.append((callback, args, contextvars.copy_context(), timer))
             if len(self.backlog) == 1:
-                self.loop.raw_at(self.free, self.drain)
+                self.loop.call_outside_nodes(self.free, self.drain)
         else:
             self.step(callback, args)
 
     def step(self, callback, args):
         callback(*args)
-        self.free, self.owed_s = max(self.free, self.loop.vt) + (self.cost + self.owed_s) * self.times, 0.0
+        self.free, self.owed_s = (
+            max(self.free, self.loop.virtual_time) + (self.cost + self.owed_s) * self.times,
+            0.0,
+        )
 
     def drain(self):
         """Runs the next queued callback once the CPU is free."""
@@ -121,7 +124,7 @@
             callback, args, context, _ = self.backlog.popleft()
             context.run(self.step, callback, args)
         if self.backlog:
-            self.loop.raw_at(self.free, self.drain)
+            self.loop.call_outside_nodes(self.free, self.drain)
 
     def run(self, coroutine):
         task = self.loop.create_task(coroutine, context=self.ctx)
--- a/hollowhall/sim/net.py
+++ b/hollowhall/sim/net.py
@@ -49,7 +49,9 @@
 
     def later(self, delay, function, *args):
         """Calls a function of the network itself after `delay` seconds, in no node's context."""
-        self.loop.call_at(self.loop.time() + delay, self.outside, function, args, context=self.bare)
+        self.loop.call_at(
+            self.loop.time() + delay, self.outside, function, args, context=self.outside_context
+        )
 
     def outside(self, function, args):
         function(*args)
@@ -92,7 +94,7 @@
             SimWire(net=self, node=node, peer_machine=machine),
             SimWire(net=self, node=listener, peer_machine=node.machine),
         )
-        near_end.other, far_end.other = far_end, near_end
+        near_end.far_end, far_end.far_end = far_end, near_end
         node.wires.append(near_end)
         listener.wires.append(far_end)
         listener.run(on_connection(far_end))
@@ -180,10 +182,10 @@
             retries_and_cancel[1]()
 
     def face(self, node):
-        return Face(net=self, node=node)
+        return NodeNetwork(net=self, node=node)
 
 
-class Face:
+class NodeNetwork:
     """The network interface that the daemons of one node use."""
 
     def __init__(self, *, net, node):
--- a/hollowhall/sim/stands.py
+++ b/hollowhall/sim/stands.py
@@ -5,12 +5,12 @@
 
 from ..standins.crew import Mate
 from ..standins.crowd import Operator, Requester
-from ..standins.shapes import crew_of
+from ..standins.shapes import workers_of
 from .loop import Node
 from .net import SimWeb
 
 
-class StandsMixin:
+class SimulatedClientsMixin:
     """Adds and removes simulated workers, clients and operators of a World."""
 
     def now_of(self, machine):
@@ -18,7 +18,7 @@
         self.bases.setdefault(machine, self.rng.random() * 1e4)
         return lambda: self.now_at(machine)
 
-    def add_mate(self, card):
+    def add_worker_from_card(self, card):
         """Starts a worker; `card` is (id, kind, zone, rack, room)."""
         machine = "w-" + card[0]
         node = Node(name=card[0], machine=machine, loop=self.loop)
@@ -30,7 +30,7 @@
             hist=self.hist,
             rng=random.Random(self.rng.getrandbits(60)),
             now=self.now_of(machine),
-            keeps=int(card[0][-2:]) % self.run_on != 0,
+            keeps=int(card[0][-2:]) % self.lease_ignored_by_one_in != 0,
         )
         if not worker.keeps:
             worker.heartbeat_timeout = (
@@ -43,14 +43,14 @@
         return worker
 
     def add_crew(self, cards=None):
-        for card in cards or crew_of(self.shape):
-            self.add_mate(card)
+        for card in cards or workers_of(self.shape):
+            self.add_worker_from_card(card)
 
-    def crash_mate(self, worker_id):
+    def crash_worker(self, worker_id):
         node = self.worker_nodes.pop(worker_id)
         self.mates.pop(worker_id).crash()
         node.kill()
-        self.graves.append(node)
+        self.ended_nodes.append(node)
 
     def requester(self, *, tag, kind=Requester):
         return kind(
@@ -58,7 +58,7 @@
             web=SimWeb(net=self.net, machine="outside-" + tag),
             hist=self.hist,
             rng=random.Random(self.rng.getrandbits(60)),
-            now=lambda: self.loop.vt,
+            now=lambda: self.loop.virtual_time,
             tag=tag,
         )
 
--- a/hollowhall/sim/storm.py
+++ b/hollowhall/sim/storm.py
@@ -52,7 +52,7 @@
     calm=CALM,
 ):
     simulation = world or World(seed=seed, shape=SHAPES[shape])
-    plan = schedule(seed=seed, kinds=kinds, n=n) if plan is None else plan
+    plan = schedule(seed=seed, kinds=kinds, fault_count=n) if plan is None else plan
     figures = {}
 
     async def play():
--- a/hollowhall/sim/wire.py
+++ b/hollowhall/sim/wire.py
@@ -13,7 +13,7 @@
 
     def __init__(self, *, net, node, peer_machine):
         self.net, self.node, self.peer_machine = net, node, peer_machine
-        self.inbox, self.arrival, self.other, self.open = [], None, None, True
+        self.inbox, self.arrival, self.far_end, self.open = [], None, None, True
         self.outbox, self.sending, self.blocked_s = [], False, 0.0
 
     def send(self, frame):
@@ -36,7 +36,10 @@
         if not self.open or not self.outbox:
             self.sending = False
             return
-        if self.net.is_cut(self.node.machine, self.peer_machine) or self.other.node.machine in self.net.dark:
+        if (
+            self.net.is_cut(self.node.machine, self.peer_machine)
+            or self.far_end.node.machine in self.net.dark
+        ):
             self.blocked_s += RETRY
             if self.blocked_s > GIVE_UP:
                 self.reset()
@@ -44,10 +47,10 @@
             self.net.later(RETRY, self.pump)
             return
         self.blocked_s = 0.0
-        if not self.other.open:
+        if not self.far_end.open:
             self.reset()
             return
-        self.other.deliver(self.outbox.pop(0))
+        self.far_end.deliver(self.outbox.pop(0))
         if self.outbox:
             self.net.later(self.net.delay(self.node.machine, self.peer_machine) * 0.2, self.pump)
         else:
@@ -77,7 +80,7 @@
     def close(self):
         if self.open:
             self.reset()
-            peer = self.other
+            peer = self.far_end
             if not self.net.is_cut(self.node.machine, self.peer_machine):
                 self.net.later(self.net.delay(self.node.machine, self.peer_machine), peer.reset)
 
--- a/hollowhall/sim/world.py
+++ b/hollowhall/sim/world.py
@@ -16,7 +16,7 @@
 from .disk import SimDisk
 from .loop import Node, SimLoop
 from .net import SimNet
-from .stands import StandsMixin
+from .stands import SimulatedClientsMixin
 
 BASE_MS = 1_780_000_000_000  # true time at the start of every simulation
 CPU = (8e-6, 50e-6, 0.1e-6, 215e-6)  # s of CPU time: a callback, a frame, a byte of a frame, an HTTP request
@@ -24,7 +24,7 @@
 ROLES = {"almanac": StoreMember, "desk": Desk, "mast": Mast}
 
 
-class SimSeam:
+class SimRuntime:
     """The runtime of one simulated process: clocks, random numbers, network, disk and log."""
 
     def __init__(self, *, world, node):
@@ -37,7 +37,7 @@
         return self.world.now_at(self.node.machine)
 
     def wall(self):
-        return int(self.world.true_ms() + self.world.walls.get(self.node.machine, 0))
+        return int(self.world.true_ms() + self.world.wall_offsets_ms.get(self.node.machine, 0))
 
     def spend(self, *, s):
         """Charges `s` seconds of CPU time to the process; the seconds that were charged."""
@@ -49,12 +49,12 @@
     def writer(self, *, name):
         def write(log_event, **fields):
             tail = " ".join(f"{field}={value}" for field, value in fields.items())
-            self.world.log.append(f"{self.world.loop.vt:.6f} {name} HH{log_event.number} {tail}")
+            self.world.log.append(f"{self.world.loop.virtual_time:.6f} {name} HH{log_event.number} {tail}")
 
         return write
 
 
-class World(StandsMixin):
+class World(SimulatedClientsMixin):
     """A simulated fleet: its machines, its processes (`nodes`, by name), its log and its history."""
 
     def __init__(self, *, seed, shape, almanacs=3, desks=3, masts=None, settings=None, build=None):
@@ -62,12 +62,12 @@
         self.seed, self.shape, self.rng = seed, shape, random.Random(seed)
         self.loop = SimLoop()
         self.net = SimNet(loop=self.loop, rng=random.Random(self.rng.getrandbits(60)))
-        self.net.bare = contextvars.copy_context()
-        self.log, self.graves, self.nodes, self.cards = [], [], {}, {}
-        self.disks, self.walls, self.bases = {}, {}, {}
-        self.cpu_times, self.paces, self.pace_rng = 1.0, {}, random.Random(seed * 31 + 7)
+        self.net.outside_context = contextvars.copy_context()
+        self.log, self.ended_nodes, self.nodes, self.cards = [], [], {}, {}
+        self.disks, self.wall_offsets_ms, self.bases = {}, {}, {}
+        self.cpu_times, self.clock_rates, self.pace_rng = 1.0, {}, random.Random(seed * 31 + 7)
         self.step_s = 0.0  # s of CPU time of one callback; 0: callbacks take no time
-        self.run_on = 4  # one worker in so many keeps running tasks without a lease
+        self.lease_ignored_by_one_in = 4  # one worker in so many keeps running tasks without a lease
         self.extra, self.build = settings or {}, build or ROLES
         self.hist = History(now=self.true_ms)
         self.mates, self.worker_nodes = {}, {}
@@ -127,13 +127,13 @@
 
     def now_at(self, machine):
         """The monotonic time of a machine in s, with its own origin and rate."""
-        if machine not in self.paces:
+        if machine not in self.clock_rates:
             max_difference = WORKER_PACE if machine.startswith("w-") else DAEMON_PACE
-            self.paces[machine] = 1 + self.pace_rng.uniform(-max_difference, max_difference)
-        return self.loop.vt * self.paces[machine] + self.bases[machine]
+            self.clock_rates[machine] = 1 + self.pace_rng.uniform(-max_difference, max_difference)
+        return self.loop.virtual_time * self.clock_rates[machine] + self.bases[machine]
 
     def true_ms(self):
-        return BASE_MS + self.loop.vt * 1000
+        return BASE_MS + self.loop.virtual_time * 1000
 
     # --- daemons
 
@@ -145,7 +145,7 @@
         settings = DaemonSettings(
             **card, **({"ring_files": 4, "snap_every": 60} if card["role"] == "almanac" else {}) | self.extra
         )
-        daemon = self.build[card["role"]](settings=settings, runtime=SimSeam(world=self, node=node))
+        daemon = self.build[card["role"]](settings=settings, runtime=SimRuntime(world=self, node=node))
         node.daemon, node.cost = daemon, self.step_s
         self.nodes[name] = node
         node.run(self.up(node, daemon))
@@ -166,7 +166,7 @@
     def end(self, node, *, silent):
         """Ends a process; its peers get no reset if `silent`, as after a power cut."""
         node.kill()
-        self.graves.append(node)
+        self.ended_nodes.append(node)
         self.net.down(node, silent=silent)
         for answer in node.http:
             if not answer.done() and not silent:
@@ -257,6 +257,6 @@
         finally:
             for node in list(self.nodes.values()) + list(self.worker_nodes.values()):
                 node.kill()
-                self.graves.append(node)
+                self.ended_nodes.append(node)
             self.loop.over = True
             asyncio.set_event_loop(None)
--- a/hollowhall/standins/crowd.py
+++ b/hollowhall/standins/crowd.py
@@ -34,13 +34,13 @@
 
     def __init__(self, *, masts, web, hist, rng, now, tag="r"):
         self.masts, self.web, self.hist, self.rng, self.now = masts, web, hist, rng, now
-        self.n, self.tag, self.open, self.asks = 0, tag, {}, 0
+        self.n, self.tag, self.open, self.requests = 0, tag, {}, 0
         self.figures = {"accepted": 0, "refused": 0, "unsure": 0, "ended": 0, "given_up": 0}
-        self.latency, self.shots = [], 0.06  # fraction of submissions that are not retried
+        self.latency, self.unretried_fraction = [], 0.06  # fraction of submissions that are not retried
 
     async def ask(self, event_kind, method, path, data=None, wait=5.0, **note):
-        self.asks += 1
-        request_id = f"{self.tag}-{self.asks}"
+        self.requests += 1
+        request_id = f"{self.tag}-{self.requests}"
         if method != "GET":
             self.hist.note(event_kind, id=request_id, **note)
         sent_at = round(self.hist.now(), 3)
@@ -109,7 +109,9 @@
     async def one(self, *, body, until, cancel=False, tries=None):
         """Submits a job and follows it to its end; sometimes repeats or cancels it."""
         # some clients give up after one attempt that was refused or not answered
-        name = await self.send(body=body, tries=tries or (1 if self.rng.random() < self.shots else 40))
+        name = await self.send(
+            body=body, tries=tries or (1 if self.rng.random() < self.unretried_fraction else 40)
+        )
         if name is None:
             return
         if self.rng.random() < 0.1:  # repeats an accepted submission, as a client that missed the answer does
@@ -217,7 +219,7 @@
             await asyncio.sleep(0.2)
         return None
 
-    async def tinker(self, *, lanes, seconds, gap=2.0):
+    async def change_rows_periodically(self, *, lanes, seconds, gap=2.0):
         """Changes a random row every `gap` s or so, based on the version last read."""
         end = self.now() + seconds
         while self.now() < end:
--- a/hollowhall/standins/http_client.py
+++ b/hollowhall/standins/http_client.py
@@ -7,16 +7,16 @@
 from ..base.problems import CircuitDown, Late, Unsure
 
 
-class Web:
+class HttpClient:
     """An HTTP client with at most `most` connections, which stay open between requests."""
 
-    def __init__(self, *, most=512):
-        self.session, self.most = None, most
+    def __init__(self, *, max_connections=512):
+        self.session, self.max_connections = None, max_connections
 
     async def ask(self, *, method, addr, path, body=None, wait=5.0, headers=None):
         """Sends one request; its answer or a Failure."""
         if self.session is None:
-            self.session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=self.most))
+            self.session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=self.max_connections))
         try:
             async with self.session.request(
                 method,
--- a/hollowhall/standins/shapes.py
+++ b/hollowhall/standins/shapes.py
@@ -185,7 +185,7 @@
 SHAPES = {shape.name: shape for shape in (CYMYLAU, MEMORIA)}
 
 
-def crew_of(shape):
+def workers_of(shape):
     """Every worker of a shape: (id, kind, zone, rack, room)."""
     workers = []
     for kind, count, cores, mem_mb, gpus in shape.workers:
--- a/hollowhall/tools/fleet/crowd_process.py
+++ b/hollowhall/tools/fleet/crowd_process.py
@@ -6,7 +6,7 @@
 
 from ...standins.crowd import Operator, Requester
 from ...standins.history import History
-from ...standins.http_client import Web
+from ...standins.http_client import HttpClient
 from ...standins.shapes import SHAPES
 from .trial import boot_now
 
@@ -15,7 +15,7 @@
     """One process's part of a crowd: what it saw, or None when no mast answers."""
 
     async def go():
-        shape, web, hist = SHAPES[d["shape"]], Web(), History(path=path)
+        shape, web, hist = SHAPES[d["shape"]], HttpClient(), History(path=path)
         kw = dict(masts=d["masts"], web=web, hist=hist, now=boot_now)
         op = Operator(rng=random.Random(seed + 1), tag="op", **kw)
         if await op.found(lanes=shape.lanes) is None:
--- a/hollowhall/tools/fleet/trial.py
+++ b/hollowhall/tools/fleet/trial.py
@@ -10,8 +10,8 @@
 from ...standins.crew import Mate
 from ...standins.crowd import Operator, Requester
 from ...standins.history import History
-from ...standins.http_client import Web
-from ...standins.shapes import crew_of
+from ...standins.http_client import HttpClient
+from ...standins.shapes import workers_of
 from .faults import Faults
 
 
@@ -23,7 +23,7 @@
     """All workers of a shape, in this process."""
 
     def __init__(self, *, shape, masts, hist, seed=1):
-        self.web, self.rng = Web(), random.Random(seed)
+        self.web, self.rng = HttpClient(), random.Random(seed)
         self.mates = [
             Mate(
                 card=c,
@@ -33,7 +33,7 @@
                 now=boot_now,
                 rng=random.Random(self.rng.getrandbits(60)),
             )
-            for c in crew_of(shape)
+            for c in workers_of(shape)
         ]
         self.tasks = []
 
@@ -60,7 +60,7 @@
     hp = os.path.join(fleet.folder, "history.jsonl")
     if os.path.exists(hp):
         os.unlink(hp)
-    hist, rng, web = History(path=hp), random.Random(seed), Web()
+    hist, rng, web = History(path=hp), random.Random(seed), HttpClient()
     shape, kw = fleet.shape, dict(masts=fleet.masts, web=web, hist=hist, now=boot_now)
     op = Operator(rng=random.Random(seed + 1), tag="op", **kw)
     req = Requester(rng=rng, tag=f"job{int(time.time())}", **kw)
@@ -73,7 +73,7 @@
     crew.start()
     say(f"{len(crew.mates)} workers join, requesters send for {seconds} s")
     load = asyncio.ensure_future(req.run(mix=shape.mix, seconds=seconds, settle=30.0))
-    edit = asyncio.ensure_future(op.tinker(lanes=shape.lanes, seconds=seconds))
+    edit = asyncio.ensure_future(op.change_rows_periodically(lanes=shape.lanes, seconds=seconds))
     faults = Faults(
         fleet=fleet,
         op=op,
--- a/hollowhall/tools/measure/cpu.py
+++ b/hollowhall/tools/measure/cpu.py
@@ -16,7 +16,7 @@
 from ...record.charter import check_job, check_rows
 from ...standins.crowd import Operator
 from ...standins.history import History
-from ...standins.http_client import Web
+from ...standins.http_client import HttpClient
 from ...standins.shapes import CYMYLAU, step
 from ..fleet.fleet import Fleet
 
@@ -40,7 +40,7 @@
     with tempfile.TemporaryDirectory() as d:
         f = Fleet(shape=replace(CYMYLAU, masts=1), folder=d)
         f.start_all()
-        web = Web(most=16)
+        web = HttpClient(most=16)
         try:
             op = Operator(
                 masts=f.masts, web=web, hist=History(), rng=random.Random(1), now=time.monotonic, tag="op"
--- a/hollowhall/tools/measure/crowd.py
+++ b/hollowhall/tools/measure/crowd.py
@@ -31,18 +31,18 @@
         out["tasks ended well a second"] = (
             sum(1 for r in w.hist.rows if r["ev"] == "end" and r["how"] == "ok" and r["t"] > t1ms) / secs
         )
-        out["asks a second"] = req.asks / secs
+        out["asks a second"] = req.requests / secs
         out["refused or unsure a second"] = req.figures["unsure"] / secs
         ls = sorted(calm.latency) or [secs]
         out["urgent taken, s, median"] = ls[len(ls) // 2]
         out["urgent taken, part"] = calm.figures["accepted"] / max(1, calm.n)
-        t1, probe = w.loop.vt, w.requester(tag="p")
+        t1, probe = w.loop.virtual_time, w.requester(tag="p")
         while True:
-            t = w.loop.vt
-            if await probe.send(body=mine[0](probe.rng), tries=1) and w.loop.vt - t < 0.1:
+            t = w.loop.virtual_time
+            if await probe.send(body=mine[0](probe.rng), tries=1) and w.loop.virtual_time - t < 0.1:
                 break
             await asyncio.sleep(0.1)
-        out["as before after, s"] = w.loop.vt - t1
+        out["as before after, s"] = w.loop.virtual_time - t1
         await load
         await urgent
         rows = [r for r in w.hist.rows if r["t"] > t1ms]
--- a/hollowhall/tools/measure/measure.py
+++ b/hollowhall/tools/measure/measure.py
@@ -32,17 +32,17 @@
 async def probe_gap(w, req, hit, secs=14.0):
     """Sends a small job every 20 ms through it all; the longest silence, in s."""
     body = {"lane": sorted(w.shape.lanes)[0], "steps": [{"name": "a", "kind": "none"}]}
-    good = [w.loop.vt]
+    good = [w.loop.virtual_time]
 
     async def one(n):
         st, _, _ = await req.ask("put", "PUT", f"/v1/jobs/probe-{n}", body, name=f"probe-{n}", body=body)
         if st == 201:
-            good.append(w.loop.vt)
+            good.append(w.loop.virtual_time)
 
-    end, n, ts, t0 = w.loop.vt + secs, 0, [], None
-    while w.loop.vt < end:
-        if t0 is None and w.loop.vt > end - secs + 1:
-            t0 = w.loop.vt
+    end, n, ts, t0 = w.loop.virtual_time + secs, 0, [], None
+    while w.loop.virtual_time < end:
+        if t0 is None and w.loop.virtual_time > end - secs + 1:
+            t0 = w.loop.virtual_time
             hit()
         n += 1
         ts.append(asyncio.ensure_future(one(n)))
@@ -123,10 +123,10 @@
         w.kill(w.who("desk", "primary")[0])
         while not w.who("desk", "primary"):
             await asyncio.sleep(0.005)
-        d, t = w.nodes[w.who("desk", "primary")[0]].daemon, w.loop.vt
+        d, t = w.nodes[w.who("desk", "primary")[0]].daemon, w.loop.virtual_time
         while any(i not in d.sessions or d.sessions[i].seq < 0 for i in d.record.workers):
             await asyncio.sleep(0.005)
-        out["every worker heard, s"] = w.loop.vt - t
+        out["every worker heard, s"] = w.loop.virtual_time - t
         await load
 
     w.run(go())
@@ -154,12 +154,12 @@
             st, v = await op.edit(
                 base=c["version"], rows={sorted(w.shape.lanes)[0]: {"weight": w.rng.randint(1, 9)}}
             )
-            t = w.loop.vt
+            t = w.loop.virtual_time
             while any(
                 x.daemon.charter["version"] < v["version"] for n, x in w.nodes.items() if n.startswith("mast")
             ):
                 await asyncio.sleep(0.001)
-            far.append(w.loop.vt - t)
+            far.append(w.loop.virtual_time - t)
             await asyncio.sleep(1.5)
         n = desk.batch_count - t0[1]
         out["syncs a turn, one member"] = sum(a.segments.syncs - b[0] for a, b in zip(alm, t0[0])) / 3 / n
--- a/hollowhall/tools/measure/place.py
+++ b/hollowhall/tools/measure/place.py
@@ -10,7 +10,7 @@
 from ...record import Record
 from ...record.charter import check_job
 from ...sim.world import World
-from ...standins.shapes import SHAPES, crew_of, room, step
+from ...standins.shapes import SHAPES, room, step, workers_of
 
 LOOK = 0.25  # s; between two looks at the record
 
@@ -21,7 +21,7 @@
     rec.charter = {"version": 2, "rows": SHAPES[shape].lanes, "at": 0}
     st = 1 << constants.LOGICAL_BITS
     for k in range(times):
-        for i, kind, z, rack, rm in crew_of(SHAPES[shape]):
+        for i, kind, z, rack, rm in workers_of(SHAPES[shape]):
             st += 1
             rec.ev_worker(st, f"{i}-{k}", "b", kind, z, rack, [rm["cores"], rm["memMb"], rm["gpus"]])
     makes = [m for m, _ in SHAPES[shape].mix]
--- a/hollowhall/tools/operate/commands.py
+++ b/hollowhall/tools/operate/commands.py
@@ -8,7 +8,7 @@
 from cleo.helpers import argument, option
 
 from ...base.problems import Failure, Raised
-from ...standins.http_client import Web
+from ...standins.http_client import HttpClient
 from ..fleet.fleet import read_fleet
 
 
@@ -40,7 +40,7 @@
         """Sends one request; returns (status, answer). Raises SystemExit if the gateway does not answer."""
 
         async def go():
-            client = Web()
+            client = HttpClient()
             try:
                 return await client.ask(
                     method=method,
--- a/hollowhall/tools/plan/plan.py
+++ b/hollowhall/tools/plan/plan.py
@@ -12,7 +12,7 @@
 from ...base.problems import BadInput, Failure, Raised, StaleBase, Unknown
 from ...desk.place import Round
 from ...desk.reserved_plan import plan_of
-from ...standins.http_client import Web
+from ...standins.http_client import HttpClient
 from ..fleet.fleet import read_fleet
 from .change import apply, read_change, read_picture
 from .plan_ahead import AheadMixin
@@ -157,7 +157,7 @@
                 raise Raised(BadInput(errors=[["picture", str(error)]])) from None
 
         async def go():
-            client = Web()
+            client = HttpClient()
             try:
                 return await client.ask(
                     method="GET",
--- a/hollowhall/tools/scale/virtual.py
+++ b/hollowhall/tools/scale/virtual.py
@@ -39,7 +39,7 @@
     def sent(self, wire, b):
         if not self.on:
             return
-        for n, way in ((wire.node.name, "out"), (wire.other.node.name, "in")):
+        for n, way in ((wire.node.name, "out"), (wire.far_end.node.name, "in")):
             d = self.by.setdefault(n, {"out_n": 0, "out_b": 0, "in_n": 0, "in_b": 0})
             d[way + "_n"] += 1
             d[way + "_b"] += len(b) + 4
@@ -100,7 +100,7 @@
         self.seen, self.row = Seen(), None
 
     def now(self):
-        return self.w.loop.vt
+        return self.w.loop.virtual_time
 
     def caller(self, tag):
         return Caller(
--- a/tests/control_losses.py
+++ b/tests/control_losses.py
@@ -158,9 +158,9 @@
 
 async def connections_reset(world, operator, callers):
     """Connections between and to our machines are reset repeatedly."""
-    deadline = world.loop.vt + 8
+    deadline = world.loop.virtual_time + 8
     changing = asyncio.ensure_future(changes(world, operator, seconds=8))
-    while world.loop.vt < deadline:
+    while world.loop.virtual_time < deadline:
         name = world.rng.choice(sorted(world.nodes))
         trouble_id = world.trouble("freeze", name)
         world.net.down_wires(world.nodes[name])
--- a/tests/control_shapes.py
+++ b/tests/control_shapes.py
@@ -45,8 +45,8 @@
 
 async def changes(world, operator, *, seconds, gap=0.4):
     """Sends changes and reads alternately for `seconds`."""
-    deadline, number = world.loop.vt + seconds, 0
-    while world.loop.vt < deadline:
+    deadline, number = world.loop.virtual_time + seconds, 0
+    while world.loop.virtual_time < deadline:
         number += 1
         await change(operator, number % 7)
         await operator.read(limit=4.0)
@@ -56,8 +56,8 @@
 async def orders_at(world, operator, name, *, seconds):
     """Sends changes and reads to one machine alone, each based on the newest known configuration."""
     pinned_operator = pinned(world, f"at-{name}", name)
-    deadline = world.loop.vt + seconds
-    while world.loop.vt < deadline:
+    deadline = world.loop.virtual_time + seconds
+    while world.loop.virtual_time < deadline:
         pinned_operator.config = operator.config
         await pinned_operator.patch(upsert={"routeTable": [route(9)]}, limit=0.5)
         await pinned_operator.read(limit=0.5)
@@ -123,11 +123,11 @@
 
 def lose_answers(world, operator, *, seconds):
     """Loses the share LOST of the answers to this operator for `seconds` from here on."""
-    real, deadline = operator.caller.once, world.loop.vt + seconds
+    real, deadline = operator.caller.once, world.loop.virtual_time + seconds
 
     async def once(**call):
         answer = await real(**call)
-        if world.loop.vt < deadline and operator.rng.random() < LOST:
+        if world.loop.virtual_time < deadline and operator.rng.random() < LOST:
             return Answer(status=0, headers={}, addr=answer.addr, why="silence")
         return answer
 
@@ -137,7 +137,7 @@
 async def eight_at_once(world, operator, callers):
     """Eight operators change one version at the same time, some with the same new version number."""
     for _ in range(3):
-        others = [world.s.operator(f"o{number}-{world.loop.vt:.0f}") for number in range(8)]
+        others = [world.s.operator(f"o{number}-{world.loop.virtual_time:.0f}") for number in range(8)]
         base = operator.config["revision"]
         for other in others:
             other.config = operator.config
--- a/tests/parts.py
+++ b/tests/parts.py
@@ -79,7 +79,7 @@
 def play(build, seed, kinds, n=5):
     """The result of a run with `n` faults of these kinds."""
     world = World(seed=seed, shape=SHAPES["cymylau"], build=build, masts=3)
-    plan = schedule(seed=seed, kinds=list(kinds), n=n, start=3.0, end=13.0)
+    plan = schedule(seed=seed, kinds=list(kinds), fault_count=n, start=3.0, end=13.0)
     return storm.run(seed=seed, plan=plan, load=14.0, world=world, calm=16.0)
 
 
--- a/tests/platform_herds.py
+++ b/tests/platform_herds.py
@@ -16,7 +16,7 @@
     await asyncio.sleep(BACK)
     for n in names:
         w.start(n)
-    w.back_at = w.loop.vt
+    w.back_at = w.loop.virtual_time
     for i in ids:
         w.hist.note("calm", id=i)
 
@@ -52,8 +52,8 @@
     await asyncio.sleep(3)
     w.kills = 0
     for _ in range(4):
-        end = w.loop.vt + 8
-        while not w.primary() and w.loop.vt < end:
+        end = w.loop.virtual_time + 8
+        while not w.primary() and w.loop.virtual_time < end:
             await asyncio.sleep(0.05)
         w.kills += bool(w.primary())
         await herd(w, [w.primary() or "core-1"])
@@ -100,7 +100,7 @@
 
 def served_after(w):
     """S from when a herd was back until the first job was taken that was sent after the kill."""
-    at = (w.back_at - BACK) * 1000 + w.true_ms() - w.loop.vt * 1000
+    at = (w.back_at - BACK) * 1000 + w.true_ms() - w.loop.virtual_time * 1000
     return min((s + ms for s, ms in accepted(w, since=at)), default=1e15) / 1000 - at / 1000 - BACK
 
 
--- a/tests/platform_machines.py
+++ b/tests/platform_machines.py
@@ -40,8 +40,8 @@
         ]
         for other in others:
             self.net.cut(name, other)
-            self.hist.note("cut", id=f"{name}-{other}-{self.loop.vt}", a=name, b=other)
-        ids = [f"{name}-{other}-{self.loop.vt}" for other in others]
+            self.hist.note("cut", id=f"{name}-{other}-{self.loop.virtual_time}", a=name, b=other)
+        ids = [f"{name}-{other}-{self.loop.virtual_time}" for other in others]
         await asyncio.sleep(seconds)
         self.net.heal()
         for cut_id in ids:
@@ -59,8 +59,8 @@
             node.daemon.ended.set()
 
         node.run(leave())
-        end = self.loop.vt + self.bounds.grace_s
-        while node.alive and self.loop.vt < end:
+        end = self.loop.virtual_time + self.bounds.grace_s
+        while node.alive and self.loop.virtual_time < end:
             await asyncio.sleep(0.1)
         if node.alive:
             self.kill(name)
--- a/tests/platform_standins/stage.py
+++ b/tests/platform_standins/stage.py
@@ -27,14 +27,14 @@
         self.loop = loop or SimLoop()
         self.net = net or SimNet(loop=self.loop, rng=random.Random(seed * 7 + 1))
         if net is None:
-            self.net.bare = contextvars.copy_context()
+            self.net.outside_context = contextvars.copy_context()
         self.hist = hist or History(now=self.true_ms)
         self.bounds, self.registry = bounds or Bounds(), Registry()
         self.workers, self.nodes, self.controls = {}, {}, []
         self.balancer = Balancer(web=self.web("platform"))
 
     def true_ms(self):
-        return BASE_MS + self.loop.vt * 1000
+        return BASE_MS + self.loop.virtual_time * 1000
 
     def web(self, machine):
         return SimWeb(net=self.net, machine=machine)
--- a/tests/platform_world.py
+++ b/tests/platform_world.py
@@ -15,7 +15,7 @@
 
 from hollowhall.sim.disk import SimDisk
 from hollowhall.sim.loop import Node
-from hollowhall.sim.world import SimSeam, World
+from hollowhall.sim.world import SimRuntime, World
 from hollowhall.standins.shapes import Shape
 
 sys.path.insert(1, str(pathlib.Path(__file__).parent.parent / "platform"))
@@ -116,7 +116,7 @@
         node.http, node.cost = [], self.step_s
         settings = boot.SETTINGS.load(self.settings[name])
         daemon, listeners = serve.make(
-            role=self.cards[name]["role"], d=settings, runtime=SimSeam(world=self, node=node)
+            role=self.cards[name]["role"], d=settings, runtime=SimRuntime(world=self, node=node)
         )
         node.daemon, self.nodes[name] = daemon, node
         self.settings[name]["bootstrap"] = False
@@ -172,14 +172,14 @@
 
     async def day(self, *, mix, rate=2.0, seconds=15.0, faults=None, settle=15.0):
         """Runs a day of traffic and the coroutine `faults` meanwhile; the operator and the clients."""
-        stage, started = self.s, self.loop.vt
+        stage, started = self.s, self.loop.virtual_time
         self.add_workers(self.first)
         self.start_all()
         watch = asyncio.ensure_future(stage.balancer.watch())
         operator = stage.operator("op")
         await asyncio.sleep(1.0)
         assert await operator.put(table(tenants=self.tenants), limit=START)
-        await asyncio.sleep(max(0.0, started + START - self.loop.vt))
+        await asyncio.sleep(max(0.0, started + START - self.loop.virtual_time))
         clients = [
             stage.client(f"c{index}", zone=f"z{index + 1}", queue=queue, key=self.key_of(operator, index))
             for index, queue in enumerate((QUEUE, QUEUE, URGENT))
--- a/tests/reserved_world.py
+++ b/tests/reserved_world.py
@@ -60,7 +60,7 @@
     """Sends others' work, more than there is room for: with checkpoints, with an estimate, and of unknown
     duration."""
     count = 0
-    while world.loop.vt < until:
+    while world.loop.virtual_time < until:
         run_ms = 500 + world.rng.randrange(4000)
         fields = [{"saves": True}, {"estimateMs": run_ms}, {}][count % 3]
         await client.send(body=job(("batch", "odds")[count % 2], run_ms, tasks=4, **fields))
@@ -70,7 +70,7 @@
 
 async def team(world, client, *, until, tasks=8, run_ms=2000):
     """Sends the owners' work: a job of eight tasks every two thirds of a second."""
-    while world.loop.vt < until:
+    while world.loop.virtual_time < until:
         await client.send(body=job("team", run_ms, tasks=tasks))
         await asyncio.sleep(tasks * run_ms / 1000 / COUNT)
 
@@ -93,7 +93,7 @@
 ):
     """One run. steps: a coroutine that gets the world and an operator and runs beside the load."""
     world = World(seed=seed, shape=FLEET, build=build or weak.REAL, settings={"level": 3} | (settings or {}))
-    world.run_on = 10**6  # no worker keeps running attempts while it is partitioned
+    world.lease_ignored_by_one_in = 10**6  # no worker keeps running attempts while it is partitioned
     answers = world.got = {}
 
     async def go():
@@ -106,15 +106,15 @@
         await operator.found(lanes=LANES)
         world.add_crew()
         world.hist.note("share", percent=(settings or {}).get("reserved_percent", 50))
-        await asyncio.sleep(5 - world.loop.vt)
+        await asyncio.sleep(5 - world.loop.virtual_time)
         if reserved:
             answers["answer"] = await operator.reserve(name="r", body=body or USUAL_BODY)
         tasks = [asyncio.ensure_future(crowd(world, client, until=end))] if crowded else []
         if steps:
             tasks.append(asyncio.ensure_future(steps(world, operator)))
-        await asyncio.sleep(begin - 0.5 - world.loop.vt)
+        await asyncio.sleep(begin - 0.5 - world.loop.virtual_time)
         tasks.append(asyncio.ensure_future(team(world, team_client, until=CLOSE - 2)))
-        await asyncio.sleep(end - world.loop.vt)
+        await asyncio.sleep(end - world.loop.virtual_time)
         for task in tasks:
             if task.done():
                 task.result()
@@ -134,7 +134,7 @@
 
         async def book(client, number):
             for attempt in range(12):
-                begin = world.loop.vt + world.rng.random() * 10
+                begin = world.loop.virtual_time + world.rng.random() * 10
                 status, _ = await client.reserve(
                     name=f"{client.tag}-{attempt}",
                     tries=9,
@@ -152,7 +152,7 @@
                 await asyncio.sleep(world.rng.random() * 2)
 
         await asyncio.gather(
-            faults.run(schedule(seed=seed, kinds=ALL, n=faults_count, start=6.0, end=26.0)),
+            faults.run(schedule(seed=seed, kinds=ALL, fault_count=faults_count, start=6.0, end=26.0)),
             *(book(client, number) for number, client in enumerate(operators)),
         )
 
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -30,7 +30,7 @@
 from soak_processes import EDGE, Processes
 
 from hollowhall.standins.history import History
-from hollowhall.standins.http_client import Web
+from hollowhall.standins.http_client import HttpClient
 
 READY_S = 60.0  # s; until the first configuration is taken and every edge machine is ready
 ORDER_S = 60.0  # s; until a change has a clear answer, among overlapping losses
@@ -68,7 +68,7 @@
     # --- who takes part
 
     def common(self):
-        web = Web()
+        web = HttpClient()
         self.webs.append(web)
         rng, loop = random.Random(self.rng.getrandbits(60)), asyncio.get_running_loop()
         return {"web": web, "hist": self.hist, "rng": rng, "loop": loop}
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -65,7 +65,7 @@
     async def scenario():
         world.start_all()
         faults = Faults(world=world, requester=None, operators=[], calm=5)
-        plan = schedule(seed=seed, kinds=KINDS, n=8, start=2, end=25)
+        plan = schedule(seed=seed, kinds=KINDS, fault_count=8, start=2, end=25)
         running = asyncio.ensure_future(faults.run(plan))
         while not running.done():
             desk = world.nodes["desk-1"].daemon if "desk-1" in world.nodes else None
@@ -117,7 +117,7 @@
         for round_number in range(40):
             if round_number == 5:
                 for machine in world.disks:
-                    world.walls[machine] = -5000
+                    world.wall_offsets_ms[machine] = -5000
                 world.kill(leader)
             outcome = await request_stamps(world, 10)
             if outcome.ok:
@@ -143,7 +143,7 @@
         world.start_all()
         await asyncio.sleep(3)
         leader = [name for name, node in world.nodes.items() if getattr(node.daemon, "clk", None)][0]
-        world.walls[world.cards[leader]["machine"]] = jump
+        world.wall_offsets_ms[world.cards[leader]["machine"]] = jump
         for round_number in range(8):
             if round_number == 3:
                 world.kill(leader)
--- a/tests/test_configuration_news.py
+++ b/tests/test_configuration_news.py
@@ -22,27 +22,27 @@
         mast = world.nodes[name].daemon
         while mast.charter.get("chosen", 0) < revision:
             await asyncio.sleep(0.01)
-        took = (world.loop.vt - acknowledged) * 1000
+        took = (world.loop.virtual_time - acknowledged) * 1000
         if took > world.bounds.config_apply_ms + 1:
             late.append((name, revision, round(took)))
 
     async def silence(operator, zone, number):
         gone = [name for name, settings in world.settings.items() if settings["zone"] == zone]
         edges = [name for name in world.settings if name.startswith("edge") and name not in gone]
-        began_at, tasks = world.loop.vt, []
+        began_at, tasks = world.loop.virtual_time, []
         for name in gone:
             world.pause(name)
         for step, after_s in enumerate(CHANGES_AT):
-            await asyncio.sleep(max(0.0, began_at + after_s - world.loop.vt))
+            await asyncio.sleep(max(0.0, began_at + after_s - world.loop.virtual_time))
             route = F.route(
                 f"r-{number}-{step}", host="h.example", prefix=f"/{number}-{step}/", service="tiles"
             )
             assert await operator.patch(upsert={"routeTable": [route]}, limit=8.0)
             tasks += [
-                asyncio.ensure_future(check(edge, operator.config["revision"], world.loop.vt))
+                asyncio.ensure_future(check(edge, operator.config["revision"], world.loop.virtual_time))
                 for edge in edges
             ]
-        await asyncio.sleep(max(0.0, began_at + SILENT_S - world.loop.vt))
+        await asyncio.sleep(max(0.0, began_at + SILENT_S - world.loop.virtual_time))
         for name in gone:
             world.pause(name, on=False)
         await asyncio.gather(*tasks)
--- a/tests/test_control_power.py
+++ b/tests/test_control_power.py
@@ -67,9 +67,9 @@
         world.start("hall-9")
         await world.until(lambda: all(len(hall.store.voters) == 4 for hall in world.halls()))
         old, lost = [name for name in sorted(world.nodes) if name.startswith("hall") and name != "hall-9"][:2]
-        before = world.loop.vt
+        before = world.loop.virtual_time
         await world.leave(old)
-        assert world.loop.vt - before < 2.5, "well within half of the platform's grace"
+        assert world.loop.virtual_time - before < 2.5, "well within half of the platform's grace"
         world.power_off(world.cards[lost]["machine"])
         await world.until(lambda: len(world.primary()) == 1, limit=5)
         assert all(len(hall.store.voters) <= 3 for hall in world.halls())
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -132,11 +132,11 @@
             for number in range(3)
         ]
         await asyncio.sleep(0.1)
-        asked_at = world.loop.vt
+        asked_at = world.loop.virtual_time
         late = await requester.ask(
             "put", "PUT", "/v1/jobs/late", job("tiles"), name="late", body=job("tiles")
         )
-        results["late"], results["took"] = late, world.loop.vt - asked_at
+        results["late"], results["took"] = late, world.loop.virtual_time - asked_at
         for name in others:
             world.pause(name, on=False)
         await asyncio.gather(*tasks)
--- a/tests/test_hall.py
+++ b/tests/test_hall.py
@@ -66,11 +66,11 @@
         return [hall for hall in self.halls() if hall.desk.live()]
 
     async def until(self, what, limit=20.0):
-        start = self.loop.vt
+        start = self.loop.virtual_time
         while not what():
-            assert self.loop.vt - start < limit, "not in time"
+            assert self.loop.virtual_time - start < limit, "not in time"
             await asyncio.sleep(0.02)
-        return self.loop.vt - start
+        return self.loop.virtual_time - start
 
 
 def all_members_up(world, count=5):
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -25,7 +25,7 @@
     async def call(self, *, op, request, wait):
         if request.get("hold") != 1:  # the daemon's own lease
             return Late(op=op)
-        self.sent.append(self.loop.vt)
+        self.sent.append(self.loop.virtual_time)
         if len(self.sent) < self.nth:
             await asyncio.sleep(wait)
             return Late(op=op)
@@ -44,8 +44,8 @@
         daemon = world.nodes[world.who("desk", "primary")[0]].daemon
         member = Attempts(loop=world.loop, nth=nth, took=took)
         pace, base = (
-            world.paces[world.cards[daemon.settings.id]["machine"]],
-            daemon.runtime.now() - world.loop.vt,
+            world.clock_rates[world.cards[daemon.settings.id]["machine"]],
+            daemon.runtime.now() - world.loop.virtual_time,
         )
         daemon.link = lambda addr: member
         outcome, counts_from, gap = await daemon.keep_lease(hold=1)
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -101,7 +101,7 @@
     real_start = world.start
 
     def start(name):
-        if not seen and name == daemon_name and daemon_name not in [node.name for node in world.graves]:
+        if not seen and name == daemon_name and daemon_name not in [node.name for node in world.ended_nodes]:
             world.build = W.REAL | {role: old}
         real_start(name)
         world.build = W.REAL
@@ -111,7 +111,7 @@
     assert seen[0] == [] and len(set(seen[1])) == 3
     assert all(
         node.daemon.record.level == constants.LEVEL_DEFAULT
-        for node in world.graves
+        for node in world.ended_nodes
         if node.name == "almanac-1" and node.daemon.applied
     )
 
@@ -124,7 +124,7 @@
 
     run(world, steps, seconds=6)
     assert daemons_that_logged(world, 211) == [] and not any(
-        node.daemon.record.level for node in world.graves if node.name.startswith("almanac")
+        node.daemon.record.level for node in world.ended_nodes if node.name.startswith("almanac")
     )
 
 
@@ -182,7 +182,7 @@
                 }
             )
         for index in range(6):
-            await caller.follow(f"flop-{index + 1}", until=world.loop.vt + 5)
+            await caller.follow(f"flop-{index + 1}", until=world.loop.virtual_time + 5)
 
     run(world, steps)
     assert set(daemons_that_logged(world, 214)) == {"almanac.almanac-2"}
--- a/tests/test_lost.py
+++ b/tests/test_lost.py
@@ -121,13 +121,13 @@
         await asyncio.sleep(1)
         out["heard"], out["none"] = await operator.gone("tile-04"), await operator.gone("tile-99")
         worker = world.mates["tile-04"]
-        world.crash_mate("tile-04")
+        world.crash_worker("tile-04")
         await asyncio.sleep(5)
         out["early"] = await operator.gone("tile-04")
         await asyncio.sleep(8)
         out["open"] = (await caller.ask("get", "GET", "/v1/jobs/j", name="j"))[1]["tasks"]
         out["lost"] = await operator.gone("tile-04")
-        out["end"] = await caller.follow("j", until=world.loop.vt + 30)
+        out["end"] = await caller.follow("j", until=world.loop.virtual_time + 30)
         out["keeps"] = worker.keeps
 
     world.run(go())
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -38,8 +38,8 @@
 
 async def wait_for_members(world, operator, test, secs=30):
     """The membership once `test` accepts it; None after `secs` of virtual time."""
-    end = world.loop.vt + secs
-    while world.loop.vt < end:
+    end = world.loop.virtual_time + secs
+    while world.loop.virtual_time < end:
         status, members, _ = await operator.ask("members", "GET", "/v1/members")
         if status == 200 and test(members):
             return members
@@ -63,7 +63,7 @@
         await asyncio.sleep(3)
         await steps(operator)
         world.hist.note("fault", what="the last change")
-        await client.one(body=world.shape.mix[0][0](client.rng), until=world.loop.vt + 14)
+        await client.one(body=world.shape.mix[0][0](client.rng), until=world.loop.virtual_time + 14)
         await load
         world.hist.note("calm")
         await operator.read()
--- a/tests/test_nevers.py
+++ b/tests/test_nevers.py
@@ -19,7 +19,7 @@
 def play(build, seed, kinds):
     """Runs a fault campaign on a build: five faults of these kinds, at times drawn from the seed."""
     world = World(seed=seed, shape=SHAPES["cymylau"], build=build, masts=3)
-    plan = schedule(seed=seed, kinds=list(kinds), n=5, start=3.0, end=13.0)
+    plan = schedule(seed=seed, kinds=list(kinds), fault_count=5, start=3.0, end=13.0)
     return storm.run(seed=seed, plan=plan, load=14.0, world=world, calm=16.0)
 
 
--- a/tests/test_older_data.py
+++ b/tests/test_older_data.py
@@ -79,7 +79,7 @@
         disk = SimDisk(rng=random.Random(n))
         for name, content in contents(member).items():
             if name == "snap":
-                disk.wholes[name] = content
+                disk.whole_files[name] = content
             else:
                 disk.file(name=name, size=LOG_BYTES).safe[: len(content)] = content
         w.disks[f"core-{n + 1}"] = disk
@@ -88,7 +88,7 @@
     for card in w.cards.values():
         card["addr"] = addresses.get(card["addr"], card["addr"])
         card["seeds"] = [addresses[seed] for seed in card["seeds"]]
-        w.walls[card["machine"]] = RECORDED_MS - BASE_MS
+        w.wall_offsets_ms[card["machine"]] = RECORDED_MS - BASE_MS
     return w
 
 
--- a/tests/test_pictures.py
+++ b/tests/test_pictures.py
@@ -13,7 +13,7 @@
 from hollowhall.record import Record
 from hollowhall.record.charter import check_job
 from hollowhall.sim.world import World
-from hollowhall.standins.shapes import SHAPES, crew_of, step
+from hollowhall.standins.shapes import SHAPES, step, workers_of
 
 
 class NoCopyOnWrite(Record):
@@ -37,7 +37,7 @@
     record.charter = {"version": 2, "rows": SHAPES["cymylau"].lanes, "at": 0}
     events = [
         ["worker", worker, "b", kind, zone, rack, [machine["cores"], machine["memMb"], machine["gpus"]], True]
-        for worker, kind, zone, rack, machine in crew_of(SHAPES["cymylau"])
+        for worker, kind, zone, rack, machine in workers_of(SHAPES["cymylau"])
     ]
     for number in range(jobs):
         spec, digest = check_job(rng.choice(SHAPES["cymylau"].mix)[0](rng))
--- a/tests/test_platform_herds.py
+++ b/tests/test_platform_herds.py
@@ -79,7 +79,7 @@
 def taken_after(w):
     """Part of the submissions that were taken at once, of those sent from a moment after the
     herd was back; before, nobody is there, and how many come then is luck of the seed."""
-    at = w.true_ms() - (w.loop.vt - w.back_at - 0.8) * 1000
+    at = w.true_ms() - (w.loop.virtual_time - w.back_at - 0.8) * 1000
     rs = [r for r in w.s.rows("submit_out") if r["sent"] >= at]
     return sum(r["status"] == 200 for r in rs) / len(rs)
 
--- a/tests/test_platform_runs.py
+++ b/tests/test_platform_runs.py
@@ -151,7 +151,7 @@
     w = World(works=[Work(ms=5000)])
     w.s.add_worker("i-1")
     w.told((T, 1, ""))
-    w.s.loop.raw_at(0.5, w.s.nodes["i-1"].pause)
-    w.s.loop.raw_at(6.0, w.s.nodes["i-1"].wake)
+    w.s.loop.call_outside_nodes(0.5, w.s.nodes["i-1"].pause)
+    w.s.loop.call_outside_nodes(6.0, w.s.nodes["i-1"].wake)
     w.play(9)
     assert w.ends() == [(T, 1, "lapsed")]
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -45,7 +45,7 @@
         pass
 
     def now(self):
-        return self.loop.vt
+        return self.loop.virtual_time
 
     def link(self, *, addr):
         return self.store
@@ -66,7 +66,7 @@
 
     async def go():
         free = mast.request(
-            op=op, request={}, wait=wait, callback=lambda result: answers.append((result, loop.vt))
+            op=op, request={}, wait=wait, callback=lambda result: answers.append((result, loop.virtual_time))
         )
         then(mast)
         while not answers and mast.pending_requests.n:
--- a/tests/test_reservations.py
+++ b/tests/test_reservations.py
@@ -26,15 +26,15 @@
 
 
 async def kill_primary(world, operator):
-    await asyncio.sleep(reserved_world.OPEN + 4 - world.loop.vt)
+    await asyncio.sleep(reserved_world.OPEN + 4 - world.loop.virtual_time)
     world.kill(world.who("desk", "primary")[0])
 
 
 async def lose(world, operator, at):
-    await asyncio.sleep(at - world.loop.vt)
+    await asyncio.sleep(at - world.loop.virtual_time)
     # two of the workers that are to serve the reservation
     for worker_id in sorted(reserved_world.primary(world).reserving.assigned["r"])[:2]:
-        world.crash_mate(worker_id)
+        world.crash_worker(worker_id)
 
 
 async def lose_before(world, operator):
@@ -46,7 +46,7 @@
 
 
 async def drain(world, operator):
-    await asyncio.sleep(reserved_world.OPEN + 3 - world.loop.vt)
+    await asyncio.sleep(reserved_world.OPEN + 3 - world.loop.virtual_time)
     for worker_id in sorted(reserved_world.primary(world).reserving.assigned["r"])[:2]:
         await operator.ask("leave", "POST", f"/v1/workers/{worker_id}/leave", {})
 
@@ -57,14 +57,14 @@
         (reserved_world.OPEN - 2, -3_600_000),
         (reserved_world.OPEN + 3, 3_600_000),
     ):
-        await asyncio.sleep(at - world.loop.vt)
-        world.walls["core-1"] = world.walls["core-2"] = offset_ms
+        await asyncio.sleep(at - world.loop.virtual_time)
+        world.wall_offsets_ms["core-1"] = world.wall_offsets_ms["core-2"] = offset_ms
 
 
 async def restart_all(world, operator):
     """Restarts the daemons of the core machines from their disks, one machine after the other."""
     for number in (1, 2, 3):
-        await asyncio.sleep(reserved_world.OPEN - 13 + 4 * number - world.loop.vt)
+        await asyncio.sleep(reserved_world.OPEN - 13 + 4 * number - world.loop.virtual_time)
         names = world.power_off(f"core-{number}")
         await asyncio.sleep(0.5)
         world.power_on(f"core-{number}", names)
@@ -110,7 +110,7 @@
     seen = {}
 
     async def look(world, operator):
-        await asyncio.sleep(reserved_world.OPEN + 6 - world.loop.vt)
+        await asyncio.sleep(reserved_world.OPEN + 6 - world.loop.virtual_time)
         record = reserved_world.primary(world).record
         attempts = [
             (record.jobs[attempt.job].steps[attempt.step].spec, attempt)
@@ -137,7 +137,7 @@
         seen["short"] = len(reserved_world.primary(world).record.attempts)
         await asyncio.sleep(8)
         await client.send(body=reserved_world.job("batch", 25_000, tasks=48, estimateMs=25_000))
-        await asyncio.sleep(reserved_world.OPEN - 0.1 - world.loop.vt)
+        await asyncio.sleep(reserved_world.OPEN - 0.1 - world.loop.virtual_time)
         seen["long"] = sum(
             attempt.lane == "batch" for attempt in reserved_world.primary(world).record.attempts.values()
         )
@@ -236,9 +236,9 @@
 
     async def steps(world, operator):
         async def put(name, **kw):
-            started_at = world.loop.vt
+            started_at = world.loop.virtual_time
             status, body = await operator.reserve(name=name, body=reserved_world.body(**kw), tries=1)
-            assert world.loop.vt - started_at < 0.5
+            assert world.loop.virtual_time - started_at < 0.5
             return status, body.get("problem"), body.get("why"), body.get("free")
 
         got["kind"] = await put("a", kind="none")
--- a/tests/test_ring.py
+++ b/tests/test_ring.py
@@ -130,9 +130,9 @@
     log, _ = open_log(disk)
     put(log, entries(1, 3))
     asyncio.run(log.snap(snapshot={"i": 2, "t": 1, "keys": {}, "record": {}}))
-    data = bytearray(disk.wholes["snap"])
+    data = bytearray(disk.whole_files["snap"])
     data[-1] ^= 1
-    disk.wholes["snap"] = bytes(data)
+    disk.whole_files["snap"] = bytes(data)
     with pytest.raises(Raised) as caught:
         open_log(disk)
     assert caught.value.failure.file == "snap"
--- a/tests/test_solve.py
+++ b/tests/test_solve.py
@@ -11,7 +11,7 @@
 
 from hollowhall.base.problems import Raised
 from hollowhall.record import Record
-from hollowhall.standins.shapes import CYMYLAU, crew_of
+from hollowhall.standins.shapes import CYMYLAU, workers_of
 from hollowhall.tools.plan.change import Change
 from hollowhall.tools.plan.plan import plan
 from hollowhall.tools.plan.solve import Model, SolveCommand, solve
@@ -150,7 +150,7 @@
     ]
     workers = [
         {"id": worker, "kind": kind, "zone": zone, "rack": rack, **room}
-        for worker, kind, zone, rack, room in crew_of(CYMYLAU)
+        for worker, kind, zone, rack, room in workers_of(CYMYLAU)
     ]
     content = {"workers": workers, "groups": groups, "favour": "even-load"}
     first, second = [solve(read_placement_problem(content), seconds=2, seed=5) for _ in range(2)]
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -132,11 +132,11 @@
     async def scenario():
         world.start_all()
         await asyncio.sleep(3)
-        leader, left_at = world.who("almanac", "leader")[0], world.loop.vt
+        leader, left_at = world.who("almanac", "leader")[0], world.loop.virtual_time
         world.leave(leader)
         while not [name for name in world.who("almanac", "leader") if name != leader]:
             await asyncio.sleep(0.01)
-        seen["gap"] = world.loop.vt - left_at
+        seen["gap"] = world.loop.virtual_time - left_at
 
     world.run(scenario())
     assert seen["gap"] < 0.5
@@ -146,10 +146,10 @@
     result = storm.run(seed=9, n=6, load=12.0, kinds=["kill_any", "slow_disk", "lose_disk", "burst"])
     digests = {
         ended.daemon.record.digest()
-        for ended in result.world.graves
+        for ended in result.world.ended_nodes
         if ended.name.startswith("almanac")
         and ended.daemon.applied
-        == max(other.daemon.applied for other in result.world.graves if other.name.startswith("almanac"))
+        == max(other.daemon.applied for other in result.world.ended_nodes if other.name.startswith("almanac"))
     }
     assert result.bad == [] and len(digests) == 1
-    assert sum(1 for ended in result.world.graves if ended.name.startswith("almanac")) >= 3
+    assert sum(1 for ended in result.world.ended_nodes if ended.name.startswith("almanac")) >= 3
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -23,7 +23,7 @@
             name for name, node in world.nodes.items() if name.startswith("hall") and node.daemon.desk.live()
         )
         machine = world.cards[silent]["machine"]
-        silent_from = world.loop.vt
+        silent_from = world.loop.virtual_time
         if how == "power":
             world.power_off(machine)
         elif how == "freeze":
@@ -38,7 +38,7 @@
             if name.startswith("hall") and name != silent
         ]
         await world.until(lambda: any(desk.live() for desk in others), limit=8)
-        out["gap"], out["p"] = world.loop.vt - silent_from, primary
+        out["gap"], out["p"] = world.loop.virtual_time - silent_from, primary
 
     world.run(go())
     return out["gap"]
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -37,13 +37,13 @@
 
     world.run(go())
     disk = world.disks["core-1"]
-    member = [node.daemon for node in world.graves if node.name == "almanac-1"][0]
+    member = [node.daemon for node in world.ended_nodes if node.name == "almanac-1"][0]
     packed = lambda data: base64.b64encode(zlib.compress(bytes(data).rstrip(b"\0"), 9)).decode()  # noqa: E731
     FIXTURE.write_text(
         json.dumps(
             {
                 "files": {name: packed(file.safe) for name, file in disk.files.items()},
-                "snap": packed(disk.wholes["snap"]),
+                "snap": packed(disk.whole_files["snap"]),
                 "size": member.settings.ring_bytes,
                 "n": member.settings.ring_files,
                 "term": member.term,
@@ -62,7 +62,7 @@
         file = disk.file(name=name, size=fixture["size"])
         data = zlib.decompress(base64.b64decode(data))
         file.safe[: len(data)] = data
-    disk.wholes["snap"] = zlib.decompress(base64.b64decode(fixture["snap"]))
+    disk.whole_files["snap"] = zlib.decompress(base64.b64decode(fixture["snap"]))
     hard, snap, entries = LogSegments(disk=disk, files=fixture["n"], size=fixture["size"]).load()
     record = Record()
     record.load(snap["record"])
@@ -102,7 +102,7 @@
         operator, client = world.operator(tag="op"), world.requester(tag="r")
         await operator.found(lanes=world.shape.lanes)
         world.add_crew()
-        client.shots = 0.0
+        client.unretried_fraction = 0.0
         load = asyncio.ensure_future(client.run(mix=world.shape.mix, seconds=40, settle=25))
         world.build = {role: newer(daemon) for role, daemon in W.REAL.items()}
         names = sorted(world.cards, key=lambda name: name.split("-"))
