--- a/hollowhall/tools/plan/plan.py
+++ b/hollowhall/tools/plan/plan.py
@@ -20,7 +20,7 @@
 MAX_STARTS = 1_000_000  # per round; in effect no limit
 
 
-def round_of(record, now):
+def next_round(record, now):
     """The next round of placement on a record: ({task: worker} of the starts, {task: reason} of those that wait)."""
     placement_round = Round(rec=record, now=now, most=MAX_STARTS)
     placement_round.open_plan(plan_of(rec=record, ms=now))
@@ -57,8 +57,8 @@
     changed, _ = read_picture(json.loads(json.dumps(picture)))
     present_workers = {attempt.task: attempt.worker for attempt in changed.attempts.values()}
     apply(changed, change, now)
-    starts_now, reasons_now = round_of(present, now)
-    starts_then, reasons_then = round_of(changed, now)
+    starts_now, reasons_now = next_round(present, now)
+    starts_then, reasons_then = next_round(changed, now)
     if placements is not None:
         starts_then = placed(changed, placements)
         reasons_then = {
--- a/tests/test_reserving_plan.py
+++ b/tests/test_reserving_plan.py
@@ -4,12 +4,12 @@
 from test_reserving import primary  # noqa: F401 (a fixture)
 
 from hollowhall.base import constants
-from hollowhall.tools.plan.plan import round_of
+from hollowhall.tools.plan.plan import next_round
 
 
 def test_the_planner_keeps_off_what_is_reserved(primary):  # noqa: F811
     primary.job("b", "b", 40)
-    starts, why = round_of(primary.record, T)
+    starts, why = next_round(primary.record, T)
     assert len(starts) == 16 and len(why) == 24
 
 
