--- a/hollowhall/tools/fleet/crowd_process.py
+++ b/hollowhall/tools/fleet/crowd_process.py
@@ -23,7 +23,7 @@
         r = Requester(rng=random.Random(seed), tag=f"job{int(time.time())}-{seed}", **kw)
         ts = [r.run(mix=shape.mix, seconds=secs, times=times)]
         if edits:
-            ts.append(op.tinker(lanes=shape.lanes, seconds=secs))
+            ts.append(op.change_rows_periodically(lanes=shape.lanes, seconds=secs))
         await asyncio.gather(*ts)
         await web.close()
         return r.figures, r.latency
--- a/hollowhall/tools/measure/cpu.py
+++ b/hollowhall/tools/measure/cpu.py
@@ -40,7 +40,7 @@
     with tempfile.TemporaryDirectory() as d:
         f = Fleet(shape=replace(CYMYLAU, masts=1), folder=d)
         f.start_all()
-        web = HttpClient(most=16)
+        web = HttpClient(max_connections=16)
         try:
             op = Operator(
                 masts=f.masts, web=web, hist=History(), rng=random.Random(1), now=time.monotonic, tag="op"
