--- a/hollowhall/almanac/__init__.py
+++ b/hollowhall/almanac/__init__.py
@@ -1,124 +1,138 @@
-"""almanac: the control daemon. Three of them keep the store, the clock and the
-record; this file puts their parts together."""
+"""The store member (role `almanac`): one replica of the replicated store. It replicates the log, keeps
+the keys, leases and record that the log describes, and runs for leader of the timestamp clock. This
+module combines the parts; each mixin is in a module of its own."""
 
 import asyncio
 
-from ..base import consts as C
-from ..base import events as E
+from ..base import constants, log_events
 from ..base.daemon import Daemon
 from ..base.problems import Raised
-from ..base.ring_place import MemberMixin
-from ..base.slab import Slab
+from ..base.ring_place import MonitoringMixin
+from ..base.slab import PendingRequests
 from ..record import Record
 from .bootstrap import BootstrapMixin
 from .clock import ClockMixin
-from .confs import ConfMixin
-from .copy import CopyMixin
+from .confs import MembershipMixin
+from .copy import ReplicationMixin
 from .follow import FollowMixin
 from .joining import JoiningMixin
 from .keys import Keys
-from .members import MembersMixin
-from .pictures import PicturesMixin
+from .members import FailureDetectionMixin
+from .pictures import SnapshotsMixin
 from .polls import LongPollMixin
-from .ring import Ring
+from .ring import LogSegments
 from .serve import ServeMixin
-from .vote import BLANK, FOLLOWER, LEADER, VoteMixin
+from .vote import BLANK, FOLLOWER, LEADER, ElectionMixin
 
 
-class Almanac(
+class StoreMember(
     JoiningMixin,
-    VoteMixin,
+    ElectionMixin,
     BootstrapMixin,
-    CopyMixin,
+    ReplicationMixin,
     FollowMixin,
-    PicturesMixin,
+    SnapshotsMixin,
     ServeMixin,
     LongPollMixin,
     ClockMixin,
-    MembersMixin,
-    ConfMixin,
-    MemberMixin,
+    FailureDetectionMixin,
+    MembershipMixin,
+    MonitoringMixin,
     Daemon,
 ):
+    """One replica of the store."""
+
     role = "almanac"
-    make_record = Record  # a version with another record sets its own
+    make_record = Record  # subclasses with another record class override this
 
-    def __init__(self, *, params, seam):
-        super().__init__(params=params, seam=seam)
+    def __init__(self, *, settings, runtime):
+        super().__init__(settings=settings, runtime=runtime)
         self.keys, self.record = Keys(), self.make_record()
-        self.here, self.listeners = {params.addr: self}, []
-        self.term, self.vote, self.leader, self.rank = 0, "", "", FOLLOWER
-        self.book, self.base_i, self.base_t = [], 0, 0
+        # listeners are called with (operation, body) before an entry is applied to the record
+        self.local_daemons, self.entry_listeners = {settings.addr: self}, []
+        self.term, self.vote, self.leader, self.election_role = 0, "", "", FOLLOWER
+        # the log's entries, [index, term, body], above the base: the last index that was compacted away
+        self.log_entries, self.base_index, self.base_term = [], 0, 0
         self.commit = self.applied = self.synced = self.snap_i = 0
-        self.conf_t = 0.0  # when the list of members changed here
-        self.blank, self.floor, self.handing = True, None, False
+        self.membership_changed_at = 0.0  # s; when the membership in force last changed on this replica
+        self.blank, self.minimum_term, self.handing_over = True, None, False
         self.hard_dirty = self.writing = False
-        self.unsynced, self.sync_ks, self.flight_ks, self.snap_in = [], [], [], None
-        self.disk_t0, self.counted_on_disk = None, False
-        self.slab, self.waits = Slab(cap=C.SLAB_CAP), {}
-        self.lead_t, self.match, self.next, self.blanks = 0.0, {}, {}, set()
-        self.acked_t, self.acked_n, self.sent_n, self.reads = {}, {}, 0, []
-        self.hold_ends, self.expiring, self.noop_i = {}, set(), 0
-        self.marks, self.marks_of = {}, {}
-        self.kept, self.ballots, self.born = {}, [], seam.now()
-        self.heard = seam.now()  # whoever leads is heard soon; if all began, nobody does
-        self.patience = C.ELECT_START * (1 + seam.rng.random())
-        self.led = 0.0  # when a leader was heard; `heard` is also put off by our own tries
+        self.unsynced, self.sync_callbacks, self.inflight_callbacks, self.received_snapshot = [], [], [], None
+        self.write_started, self.counted_on_disk = None, False
+        self.pending, self.pending_proposals = (
+            PendingRequests(capacity=constants.PENDING_REQUESTS_PER_CONNECTION),
+            {},
+        )
+        self.led_since, self.match, self.next, self.blank_peers = 0.0, {}, {}, set()
+        self.acked_at, self.acked_number, self.append_count, self.pending_reads = {}, {}, 0, []
+        self.lease_ends, self.expiring, self.noop_index = {}, set(), 0
+        self.checksums, self.checksums_by_index = {}, {}
+        self.lease_kept_at, self.ballots, self.started_at = {}, [], runtime.now()
+        # At a start an existing leader makes itself heard soon; if all members start together, none does.
+        self.election_timer_start = runtime.now()
+        self.election_timeout = constants.ELECTION_TIMEOUT_AT_START * (1 + runtime.rng.random())
+        # When a leader was last heard; election_timer_start is also reset by this replica's own campaigns.
+        self.leader_heard_at = 0.0
 
     def restore(self):
-        """From the disk, before any socket opens; damage raises."""
-        self.ring = Ring(disk=self.seam.disk, files=self.params.ring_files, size=self.params.ring_bytes)
-        hard, snap, es = self.ring.load()
-        if self.ring.cut:
-            self.say(E.TAIL_CUT, frames=self.ring.cut)
-        if snap is not None:
-            self.load_picture(snap)
-            self.base_i, self.base_t = snap["i"], snap["t"]
-            self.commit = self.applied = self.snap_i = snap["i"]
-            self.conf_load(snap, keep=False)
-        self.book = es
-        for e in es:
-            self.conf_in(e)
+        """Loads the state from disk, before any socket opens; raises Raised if the disk is damaged."""
+        self.segments = LogSegments(
+            disk=self.runtime.disk, files=self.settings.ring_files, size=self.settings.ring_bytes
+        )
+        hard, snapshot, entries = self.segments.load()
+        if self.segments.torn_frames:
+            self.say(log_events.TAIL_CUT, frames=self.segments.torn_frames)
+        if snapshot is not None:
+            self.load_snapshot(snapshot)
+            self.base_index, self.base_term = snapshot["i"], snapshot["t"]
+            self.commit = self.applied = self.snap_i = snapshot["i"]
+            self.load_membership(snapshot, keep=False)
+        self.log_entries = entries
+        for entry in entries:
+            self.add_membership_entry(entry)
         self.synced = self.last()
         self.term, self.vote = hard.get("t", 0), hard.get("v", "")
         self.blank = not hard.get("m", False)
         self.counted_on_disk = not self.blank
-        self.rank = BLANK if self.blank else FOLLOWER
-        if not self.blank and self.conf["v"] < 0:  # ended before any list was in the log
-            c = self.conf | {"v": 0, "voters": sorted({*self.params.seeds, self.params.addr})}
-            self.confs = [(0, c)]
-            self.use_conf()
+        self.election_role = BLANK if self.blank else FOLLOWER
+        if not self.blank and self.membership["v"] < 0:  # stopped before the log held a membership
+            membership = self.membership | {
+                "v": 0,
+                "voters": sorted({*self.settings.seeds, self.settings.addr}),
+            }
+            self.memberships = [(0, membership)]
+            self.apply_membership()
         if self.blank:
-            self.floor = hard.get("f")  # learnt before the end, and good for this disk
-        if self.blank and self.params.join:
-            self.floor = 0  # an address that was never a member has promised nothing
+            self.minimum_term = hard.get("f")  # learned before the process ended; still valid for this disk
+        if self.blank and self.settings.join:
+            self.minimum_term = 0  # an address that was never a member has voted for nothing
 
     async def on_first_start(self):
-        self.open_conf()
-        if not self.params.auto_members:
-            self.params.seeds = sorted(set(self.params.seeds) | set(self.voters))
-        self.disk_ev = asyncio.Event()
-        self.open_pictures()
+        self.open_membership()
+        if not self.settings.auto_members:
+            self.settings.seeds = sorted(set(self.settings.seeds) | set(self.voters))
+        self.disk_event = asyncio.Event()
+        self.open_snapshots()
         self.open_serve()
         self.open_clock()
         try:
             self.restore()
         except Raised as e:
-            self.say(E.DISK_DAMAGE, problem=e.problem)
+            self.say(log_events.DISK_DAMAGE, problem=e.failure)
             raise
 
     async def open(self):
         self.open_members()
-        self.open_member()
-        self.run_task(co=self.keep_disk(), name="disk")
-        self.run_task(co=self.keep_snaps(), name="snaps")
-        self.run_task(co=self.watchdog(), name="watchdog")
-        self.run_task(co=self.expire(), name="expire")
-        self.run_task(co=self.clock_run(), name="clock")
-        self.run_task(co=self.steer(), name="steer")
+        self.open_monitoring()
+        self.run_task(coroutine=self.keep_disk(), name="disk")
+        self.run_task(coroutine=self.run_snapshots(), name="snaps")
+        self.run_task(coroutine=self.watchdog(), name="watchdog")
+        self.run_task(coroutine=self.expire_leases(), name="expire")
+        self.run_task(coroutine=self.clock_run(), name="clock")
+        self.run_task(coroutine=self.drive_changes(), name="steer")
         self.open_joining()
         self.opened = True
-        self.use_conf()
+        self.apply_membership()
 
     async def leave(self):
         await super().leave()
@@ -126,9 +140,9 @@
             for _ in range(20):
                 if self.clk is None:
                     break
-                await asyncio.sleep(C.TICK)
-        self.handing = True
-        if self.rank == LEADER:
-            await self.hand()
-            await asyncio.sleep(C.BEAT)
+                await asyncio.sleep(constants.CLOCK_REFRESH_PERIOD)
+        self.handing_over = True
+        if self.election_role == LEADER:
+            await self.hand_over()
+            await asyncio.sleep(constants.LEADER_HEARTBEAT_PERIOD)
         await self.depart()
--- a/hollowhall/almanac/serve.py
+++ b/hollowhall/almanac/serve.py
@@ -1,207 +1,232 @@
-"""What an almanac answers: store asks, the charter, the record's tail. Long-polls
-carry the version their asker holds and leave a continuation that is called when
-there is news, or empty when the wait is over. Any member answers a long-poll from
-what it has applied; compare-and-put, reads and keep-alives are the leader's."""
+"""Requests that a store member answers: transactions, leases, reads, batches of the scheduler,
+configuration edits and the tail of the log. Any replica answers the tail from its applied state;
+transactions, reads and keep-alives are served by the leader only."""
 
 import asyncio
 
-from ..base import consts as C
-from ..base import events as E
+from ..base import constants, log_events
 from ..base.circuit import pack
-from ..base.problems import Done, Mismatch, NotSynced, StaleBase, Unknown, Unsure
-from ..base.slab import Slab
-from .clock import LEAD
+from ..base.problems import Mismatch, NotSynced, StaleBase, Success, Unknown, Unsure
+from ..base.slab import PendingRequests
+from .clock import LEADER_KEY
 from .vote import LEADER
 
 
 class ServeMixin:
-    level_known = 0  # the level that a leader is about to raise the record to, or has
+    """Applies log entries, and answers requests of daemons and operators."""
 
-    def open_serve(self):
-        self.news_slab, self.polls = Slab(cap=C.SLAB_CAP), {}
+    level_known = 0  # the format level that a leader has raised the record to, or is about to
 
-    def enact(self, *, i, d):
-        """Applies one committed entry; the same on every member."""
-        op = d[0]
+    def open_serve(self):
+        self.pending_polls, self.polls = (
+            PendingRequests(capacity=constants.PENDING_REQUESTS_PER_CONNECTION),
+            {},
+        )
+
+    def apply_entry(self, *, index, command):
+        """Applies one committed entry and returns its result; deterministic, the same on every replica."""
+        op = command[0]
         if op == "txn":
-            o = self.keys.txn(cmp=d[1], then=d[2], els=d[3])
+            outcome = self.keys.txn(cmp=command[1], then=command[2], els=command[3])
             self.note_clock()
-            return o
+            return outcome
         if op == "grant":
-            self.kept[i] = self.seam.now()
-            if self.rank == LEADER:
-                self.hold_ends[i] = self.seam.now() + d[1]
-            return self.keys.grant(i=i, ttl=d[1], who=d[2])
+            self.lease_kept_at[index] = self.runtime.now()
+            if self.election_role == LEADER:
+                self.lease_ends[index] = self.runtime.now() + command[1]
+            return self.keys.grant(lease=index, ttl=command[1], caller=command[2])
         if op == "revoke":
-            o = self.keys.revoke(hold=d[1])
+            outcome = self.keys.revoke(lease=command[1])
             self.note_clock()
-            return o
+            return outcome
         if op == "members":
-            return self.enact_conf(d[1])
+            return self.enact_membership(command[1])
         if op in ("turn", "edit", "level"):
-            for f in self.listeners:
-                f(op, d[1])
-            o = self.record.enact(op=op, d=d[1])
+            for listener in self.entry_listeners:
+                listener(op, command[1])
+            outcome = self.record.apply_entry(op=op, d=command[1])
             if op == "level":
-                self.say(E.LEVEL_RAISED, level=self.record.level)
-            return o
-        return Done(v={})
+                self.say(log_events.LEVEL_RAISED, level=self.record.level)
+            return outcome
+        return Success(value={})
 
     def note_clock(self):
-        """Who leads the clock stands in the keys: nobody here need ask a former one."""
-        e = self.keys.kv.get(LEAD)
-        self.leads["clock"] = e["v"] if e else ""
-
-    def on_tail(self, *, b, k, who):
-        """The record's entries behind index `i`, or a picture if they are gone."""
-        i = b["i"]
-        if self.too_old(b=b, k=k, who=who):
+        """Takes the clock's leader from the keys, so that this process does not ask a former one."""
+        entry = self.keys.kv.get(LEADER_KEY)
+        self.known_leaders["clock"] = entry["v"] if entry else ""
+
+    def on_tail(self, *, request, callback, caller):
+        """A long poll for the record's entries after an index, or for the snapshot if they are gone."""
+        index = request["i"]
+        if self.refuse_old_level(request=request, callback=callback, caller=caller):
             return
 
-        def test(end):
-            if i < self.base_i:
-                if b.get("level", 0) and self.record.level:
-                    c = self.chunk(off=b["off"] if b.get("of") == [self.params.addr, self.snap_i] else 0)
-                    if c is None:
-                        return Done(v={"to": i, "es": []}) if end else None
-                    return Done(v=c | {"to": self.snap_i})
-                return Done(v={"to": self.applied, "picture": self.record.pack()})
-            es, size = [], 0
-            to = self.applied
-            for e in self.entries(i + 1):
-                if e[0] > self.applied:
+        def test(final):
+            if index < self.base_index:
+                if request.get("level", 0) and self.record.level:
+                    chunk = self.chunk(
+                        offset=request["off"] if request.get("of") == [self.settings.addr, self.snap_i] else 0
+                    )
+                    if chunk is None:
+                        return Success(value={"to": index, "es": []}) if final else None
+                    return Success(value=chunk | {"to": self.snap_i})
+                return Success(value={"to": self.applied, "picture": self.record.pack()})
+            entries, size = [], 0
+            upto = self.applied
+            for entry in self.entries(index + 1):
+                if entry[0] > self.applied:
                     break
-                if e[2][:6] in RECORD_HEADS:
-                    es.append([e[0], e[2]])
-                    size += len(e[2])
-                    if size > C.APPEND_BYTES:
-                        to = e[0]
+                if entry[2][:6] in RECORD_PREFIXES:
+                    entries.append([entry[0], entry[2]])
+                    size += len(entry[2])
+                    if size > constants.APPEND_MAX_BYTES:
+                        upto = entry[0]
                         break
-            if es or end:
-                return Done(v={"to": to, "es": es})
+            if entries or final:
+                return Success(value={"to": upto, "es": entries})
             return None
 
-        self.park(test=test, k=k, wait=b.get("wait", C.WATCH_WAIT))
+        self.park(test=test, callback=callback, wait=request.get("wait", constants.LONG_POLL_TIMEOUT))
 
-    def too_old(self, *, b, k, who):
-        """An asker that does not know the record's rules would go its own way."""
-        if b.get("level", 0) >= self.record.level:
+    def refuse_old_level(self, *, request, callback, caller):
+        """Answers Mismatch and returns True if the caller does not support the record's format level: it
+        would compute a different state."""
+        if request.get("level", 0) >= self.record.level:
             return False
-        self.say(E.LEVEL_OLD, who=who, level=b.get("level", 0), record=self.record.level)
-        k(Mismatch(field="level", want=str(self.record.level), got=str(b.get("level", 0))))
+        self.say(log_events.LEVEL_OLD, who=caller, level=request.get("level", 0), record=self.record.level)
+        callback(Mismatch(field="level", want=str(self.record.level), got=str(request.get("level", 0))))
         return True
 
-    # --- the leader's
+    # --- on the leader
 
-    def on_turn(self, *, b, k, who):
-        """A desk's turn; the outcome brings the record's entries it has not yet."""
-        have = b["have"]
+    def on_turn(self, *, request, callback, caller):
+        """A scheduler's batch. The answer includes the record's entries that the scheduler lacks; `gap` says
+        that some of them are gone from the log."""
+        have = request["have"]
 
-        def then(o):
-            if not o.ok:
-                k(o)
+        def then(outcome):
+            if not outcome.ok:
+                callback(outcome)
                 return
-            es = [
-                [e[0], e[2]]
-                for e in self.entries(have + 1)
-                if e[0] <= self.applied and e[2][:6] in RECORD_HEADS
+            entries = [
+                [entry[0], entry[2]]
+                for entry in self.entries(have + 1)
+                if entry[0] <= self.applied and entry[2][:6] in RECORD_PREFIXES
             ]
-            gap = have < self.base_i
-            k(
-                Done(
-                    v={
-                        "o": o.v,
+            gap = have < self.base_index
+            callback(
+                Success(
+                    value={
+                        "o": outcome.value,
                         "to": self.applied,
-                        "es": [] if gap else es,
+                        "es": [] if gap else entries,
                         "gap": gap,
                         "sum": self.record.sum,
                     }
                 )
             )
 
-        self.propose(b=pack(["turn", b["d"]]), k=then)
+        self.propose(request=pack(["turn", request["d"]]), callback=then)
 
-    def on_txn(self, *, b, k, who):
-        self.propose(b=pack(["txn", b["cmp"], b["then"], b.get("els", [])]), k=k)
+    def on_txn(self, *, request, callback, caller):
+        self.propose(
+            request=pack(["txn", request["cmp"], request["then"], request.get("els", [])]), callback=callback
+        )
 
-    def on_grant(self, *, b, k, who):
-        if not self.too_old(b=b, k=k, who=who):
-            self.propose(b=pack(["grant", b["ttl"], who]), k=k)
+    def on_grant(self, *, request, callback, caller):
+        if not self.refuse_old_level(request=request, callback=callback, caller=caller):
+            self.propose(request=pack(["grant", request["ttl"], caller]), callback=callback)
 
-    def on_revoke(self, *, b, k, who):
-        self.propose(b=pack(["revoke", b["hold"]]), k=k)
+    def on_revoke(self, *, request, callback, caller):
+        self.propose(request=pack(["revoke", request["hold"]]), callback=callback)
 
-    def on_edit(self, *, b, k, who):
-        if "chosen" in b and (self.record.level < 2 or self.level_known > self.record.level):
-            k(NotSynced(tries=0))  # the record does not know such edits yet, or rises in a moment
+    def on_edit(self, *, request, callback, caller):
+        """An edit of the configuration. The answer to a stale one is Unsure if the record may have forgotten
+        whether it was accepted before."""
+        if "chosen" in request and (self.record.level < 2 or self.level_known > self.record.level):
+            callback(NotSynced(tries=0))  # not supported at this format level, or the level is about to rise
             return
 
         def then(outcome):
-            if isinstance(outcome, StaleBase) and self.record.may_have_forgotten(b):
+            if isinstance(outcome, StaleBase) and self.record.may_have_forgotten(request):
                 outcome = Unsure(why="older than what is remembered of changes")
-            k(outcome)
+            callback(outcome)
 
-        self.propose(b=pack(["edit", b]), k=then)
+        self.propose(request=pack(["edit", request]), callback=then)
 
-    def on_configure(self, *, b, k, who):
-        """An edit that may say something of tenants. Daemons that do not know them do not know this
-        request either, so that no table of theirs is dropped in silence."""
+    def on_configure(self, *, request, callback, caller):
+        """An edit that may include tenants. Daemons that do not support tenants do not know this request
+        either, so no tenant table is dropped silently."""
         if not self.record.rule["tenants"]:
-            k(NotSynced(tries=0))
+            callback(NotSynced(tries=0))
             return
-        self.on_edit(b=b, k=k, who=who)
-
-    def on_get(self, *, b, k, who):
-        def then(p):
-            k(p if p is not None else Done(v={"rev": self.keys.rev, "kv": self.keys.under(prefix=b["p"])}))
-
-        self.read(k=then)
-
-    def on_where_to(self, *, b, k, who):
-        """A barrier: the index that holds all that was confirmed before this ask."""
-        self.read(k=lambda p: k(p if p is not None else Done(v={"i": self.applied})))
-
-    def on_charter_now(self, *, b, k, who):
-        """The newest configuration; with `public` as whoever may read it sees it, without keys."""
+        self.on_edit(request=request, callback=callback, caller=caller)
+
+    def on_get(self, *, request, callback, caller):
+        def then(failure):
+            callback(
+                failure
+                if failure is not None
+                else Success(value={"rev": self.keys.rev, "kv": self.keys.with_prefix(prefix=request["p"])})
+            )
 
-        def then(p):
-            charter = self.record.public_configuration() if b.get("public") else self.record.charter
-            k(p if p is not None else Done(v=charter))
+        self.read(callback=then)
 
-        self.read(k=then)
+    def on_where_to(self, *, request, callback, caller):
+        """A barrier: an applied index that includes everything confirmed before this request."""
+        self.read(
+            callback=lambda failure: callback(
+                failure if failure is not None else Success(value={"i": self.applied})
+            )
+        )
 
-    def on_keep(self, *, b, k, who):
-        h = b["hold"]
-        self.kept[h] = self.seam.now()  # before the appends that confirm it are sent
+    def on_charter_now(self, *, request, callback, caller):
+        """The newest configuration; with `public`, without API keys, as readers may see it."""
 
-        def then(p):
-            if p is not None:
-                k(p)
-            elif h not in self.keys.holds or h in self.expiring or self.rank != LEADER:
-                k(Unknown(what="hold", id=str(h)))
+        def then(failure):
+            configuration = (
+                self.record.public_configuration() if request.get("public") else self.record.charter
+            )
+            callback(failure if failure is not None else Success(value=configuration))
+
+        self.read(callback=then)
+
+    def on_keep(self, *, request, callback, caller):
+        """A keep-alive of a lease; confirmed only by a leader that a majority still follows."""
+        lease = request["hold"]
+        self.lease_kept_at[lease] = (
+            self.runtime.now()
+        )  # set before the appends that confirm the keep-alive, which carry it
+
+        def then(failure):
+            if failure is not None:
+                callback(failure)
+            elif lease not in self.keys.leases or lease in self.expiring or self.election_role != LEADER:
+                callback(Unknown(what="hold", id=str(lease)))
             else:
-                self.hold_ends[h] = self.seam.now() + self.keys.holds[h]["ttl"]
-                k(Done(v={}))
+                self.lease_ends[lease] = self.runtime.now() + self.keys.leases[lease]["ttl"]
+                callback(Success(value={}))
 
-        self.read(k=then)
+        self.read(callback=then)
 
-    async def expire(self):
-        """The leader lets holds run out, in its own time, as entries of the log."""
+    async def expire_leases(self):
+        """The leader's task that revokes expired leases through the log. Also drops the parked polls of a
+        replica that is out of touch."""
         while True:
-            await asyncio.sleep(C.WATCHDOG)
+            await asyncio.sleep(constants.LEADER_CHECK_PERIOD)
             if self.polls and self.out_of_touch():
                 self.drop_polls()
-            if self.rank != LEADER or self.term_at(self.commit) != self.term:
+            if self.election_role != LEADER or self.term_at(self.commit) != self.term:
                 continue
-            now = self.seam.now()
-            for h in list(self.keys.holds):
-                if self.hold_ends.get(h, now) < now and h not in self.expiring:
-                    self.expiring.add(h)
-                    self.propose(b=pack(["revoke", h]), k=lambda o: None)
+            now = self.runtime.now()
+            for lease in list(self.keys.leases):
+                if self.lease_ends.get(lease, now) < now and lease not in self.expiring:
+                    self.expiring.add(lease)
+                    self.propose(request=pack(["revoke", lease]), callback=lambda outcome: None)
 
-    def on_wall(self, *, b, k, who):
-        k(Done(v={"wall": self.seam.wall()}))
+    def on_wall(self, *, request, callback, caller):
+        callback(Success(value={"wall": self.runtime.wall()}))
 
 
-# How a turn and an edit begin on the wire: [kind, fields], packed.
-RECORD_HEADS = tuple(pack([x, 0])[:6] for x in ("turn", "edit", "level"))
+# The first bytes of the packed log entries that belong to the record: [kind, fields].
+RECORD_PREFIXES = tuple(pack([x, 0])[:6] for x in ("turn", "edit", "level"))
--- a/hollowhall/base/scheduling.py
+++ b/hollowhall/base/scheduling.py
@@ -1,91 +1,110 @@
-"""The scheduler's constants, each with its unit and its reason: waiting, packing, pace, health,
-preemption, reservations and the trace of decisions. `consts.py` gives them on."""
+"""The scheduler's constants, each with its unit and reason: waiting, packing, progress estimates, worker
+health, preemption, reservations and the trace of decisions. constants.py re-exports them."""
 
-STARVE_MS = 4000  # ms; a task that waits longer for room gets a worker reserved
-GANG_STARVE_MS = 400  # ms; a gang that waits longer gets workers kept for it
-FAR_PART = 0.8  # part; of what running far away would cost that is spent waiting
-FAR_MOST_MS = 2000  # ms; of such a wait where less than half of the kind is in use
-TURN_MOST_MS = 2500  # ms; that a tenant's work waits for the step whose turn it is while it runs under half
-TURN_REST_MS = 5000  # ms; until a step whose turn was over unused may get another one
-GANGS_STARVED = 2  # gangs of one shape, the oldest, that starve and are looked at in a round
-ROUND_S = 0.08  # s; a round keeps the loop this long at most, a quarter of an election's silence
-ROUND_REST = 2.0  # times; what a round took, for beats, requests and the store before the next one
-DRAIN_LOOK_S = 0.03e-3  # s; of a processor to see when one worker will have room; for the simulation
-NEAR_LOOKS = 16  # steps of one shape that wait for a rack and are looked at in a round
-FAR_MS = 2000  # ms; what a task is taken to need that gives no estimate
-PACE_NEW = 0.1  # part; of a lane's usual time that its newest end makes up
-PACE_AGE_MS = 500  # ms; younger attempts say nothing of their pace
-PACE_THROUGH = 98  # percents; from there on progress says nothing
-PACE_UNSURE = 0.34  # part; what such a look weighs, beside one at tasks of one step
-PACE_VAGUE = 3.0  # times; by which a task may well be longer than its lane's usual
-SLOW_RATIO = 2.5  # times; a worker this much slower than others is set aside
-STILL_STEPS = 6.0  # percents; overdue, until an attempt counts as standing still
-STILL_SURE = 1.8  # s; one alone that stands still for this long is enough
-STILL_S = 0.7  # s; at least, of no progress, until it does
-ASIDE_S = 3.0  # s; a slow worker is set aside after the last sign of it
-ASIDE_PART = 0.34  # part of a kind; no more workers are set aside at once
-RESCUE_MOST = 8  # attempts begun anew elsewhere in one look
-RESCUE_COST_MS = 500  # ms; to stop an attempt and begin it elsewhere
-SILENT_S = 0.9  # s; a worker not heard for this long gets nothing new
-PREEMPT_GAP_MS = 60  # ms; between two looks at whom to stop for urgent work
-PREEMPT_AFTER_MS = 200  # ms; that urgent work waits first
-PREEMPT_MOST = 8  # attempts stopped in one look
-PREEMPT_LOOKS = 24  # steps; that are looked at in one look
-PREEMPT_YOUNG_MS = 300  # ms; an attempt this young loses little even without checkpoints
-PROMISE_MS = 800  # ms; a stop is carried out in this, and its room used
-CHECKPOINT_MS = 1000  # ms; about what an attempt that saves may lose
-LEAVE_SLACK_MS = 200  # ms; an attempt must end this long before its worker leaves
-LEAVE_LAST_MS = 1400  # ms; before it leaves, what saves is stopped: an order, the stop, the report, a look
-RESERVE_HELD = 8  # reservations waiting to be judged; more are told to come back: one takes
-# some ms beside many others, and a turn of hundreds would hold up all
-RESERVED_PERCENT = 50  # percents; of a kind's room that reservations may take, by default
-RESERVED_PLAN_MS = 200  # ms; the plan of who serves a reservation is looked at this often
-RESERVED_SHORT_MS = 2000  # ms; one that lacks workers is mapped anew no oftener, if nothing changed
-RESERVED_NEAR_MS = 60_000  # ms; before a window its workers are chosen anew, once
-RESERVED_BACK_MS = 2000  # ms; before a window what was lent is given back, if it is wanted
-RESERVED_GRACE_MS = 1000  # ms; into a window, until also what has no checkpoint is stopped
-RESERVED_TIMES = 2  # times; what is lent surely ends within so many of its usual times
-RESERVED_SLACK_MS = 1000  # ms; and this, for its start and its end to be told
-RESERVED_UNKNOWN_MS = 3_600_000  # ms; taken for what no estimate and no end was seen of
-FED_KEPT = 500  # shapes; of which it is remembered when one was last granted
-WAITS_SAY = 5.0  # s; steps that wait long are logged no oftener
-WAITS_LONG_MS = 5000  # ms; such a wait
-WAITS_FEW = 6  # steps; named in one line of the log
-FLAKY_KEEP = 20  # ends; of a worker that are remembered
-FAILS_SICK = 0.6  # part; of a sick worker's attempts that fail, as it is judged
-FAILS_USUAL = 0.03  # part; of a queue's attempts that fail, until ends of it were seen
-FAILS_NEW = 0.02  # part; of that which its newest end makes up
-FAILS_LEAST = 0.02  # part; a queue is never taken to fail more seldom,
-FAILS_MOST = 0.4  # part; nor more often: then failures would say nothing at all
-GUILT_SUSPECTED = 1.5  # evidence; from here on suspected: one failure of a queue that is sound
-GUILT_ASIDE = 4.0  # evidence; from here on set aside: two such failures
-GUILT_HALF_MS = 20_000  # ms; in which evidence decays by half
-BLAME_MOST = 3  # failures of one step that a worker is blamed for
-BLAME_UNSURE = 0.5  # part; of a failure's weight where the step failed on a sick one, too
-BLAMED_MOST = 12  # workers; a step on more is not looked through at each end of it
-BLAMES_KEPT = 12  # steps; a worker's last ones, whose blame may yet be taken back
-RESULTS_KEPT = 2000  # steps; whose ends by worker are remembered
-PROBATION_MS = 5000  # ms; a worker is set aside first; each relapse doubles it,
-PROBATION_MOST_MS = 80_000  # ms; up to this: one attempt is lost in so long
-RELAPSE_MS = 60_000  # ms; without a relapse, until one is forgotten
-TRIAL_GOOD = 2  # good ends, one after the other, that end a trial
-PROVEN_MS = 2000  # ms; a good end this fresh speaks for a worker when a task is retried
-RETRY_WAIT_MS = 1500  # ms; a last attempt waits so long for a worker without suspicion
-FLAKY_WAIT_MS = 1500  # ms; no step waits longer for want of workers that are on probation
+STARVATION_MS = 4000  # ms; a task that waits longer for room gets a worker reserved
+GANG_STARVATION_MS = 400  # ms; a gang that waits longer gets workers reserved
+REMOTE_COST_WAIT_FRACTION = (
+    0.8  # fraction; of the cost of a remote placement that may be spent waiting for a near one
+)
+LOCALITY_WAIT_MAX_MS = 2000  # ms; longest such wait while less than half of the worker kind is in use
+TENANT_PRECEDENCE_MAX_MS = (
+    2500  # ms; that work waits for the step whose turn it is, below half of its tenant's limit
+)
+TENANT_PRECEDENCE_PAUSE_MS = 5000  # ms; before a step that did not use its turn may get another one
+STARVING_GANGS_PER_ROUND = 2  # oldest starving gangs of one shape that a placement round considers
+PLACEMENT_ROUND_MAX_S = (
+    0.08  # s; longest time a placement round blocks the loop: a quarter of an election time-out
+)
+PLACEMENT_PAUSE_FACTOR = (
+    2.0  # times the duration of a round; pause after it for heartbeats, requests and the store
+)
+DRAIN_ESTIMATE_CPU_S = (
+    0.03e-3  # s; CPU time to estimate when one worker will have room; used by the simulation
+)
+RACK_STEPS_PER_ROUND = 16  # steps of one shape waiting for a rack that a round considers
+DEFAULT_TASK_MS = 2000  # ms; assumed duration of a task without an estimate
+DURATION_NEWEST_WEIGHT = 0.1  # fraction; weight of the newest completion in a queue's usual duration
+PROGRESS_MIN_AGE_MS = 500  # ms; the progress of younger attempts is not used
+PROGRESS_JUDGED_MAX_PERCENT = 98  # percent; attempts beyond this are not judged by their progress
+QUEUE_COMPARISON_WEIGHT = (
+    0.34  # fraction; weight of a comparison with a queue's usual duration, to one within a step
+)
+DURATION_SPREAD_FACTOR = 3.0  # times; by which a task may well take longer than its queue's usual duration
+SLOW_WORKER_RATIO = 2.5  # times; a worker slower than others by this factor is set aside
+STALLED_PERCENT = 6.0  # percent; overdue by the time of this much progress, an attempt counts as stalled
+STALLED_SURE_S = 1.8  # s; a single attempt stalled for this long is sufficient evidence
+STALLED_MIN_S = 0.7  # s; shortest time without progress before an attempt counts as stalled
+SLOW_WORKER_ASIDE_S = 3.0  # s; a slow worker stays set aside for this long after the last sign of slowness
+ASIDE_MAX_FRACTION = 0.34  # fraction of a kind; most workers set aside at once
+RESTARTS_PER_CHECK = 8  # attempts restarted on another worker in one check
+RESTART_COST_MS = 500  # ms; cost of stopping an attempt and starting it on another worker
+SILENT_WORKER_S = 0.9  # s; a worker silent for this long is given no new attempts
+PREEMPTION_CHECK_PERIOD_MS = 60  # ms; between two checks for attempts to preempt
+PREEMPTION_WAIT_MS = 200  # ms; that urgent work waits before it preempts
+PREEMPTIONS_PER_CHECK = 8  # attempts preempted in one check
+PREEMPTION_STEPS_PER_CHECK = 24  # steps considered in one check
+PREEMPTION_YOUNG_MS = 300  # ms; an attempt this young loses little, even without checkpoints
+PREEMPTION_DEADLINE_MS = 800  # ms; within this a preempted attempt has stopped and its room is used
+CHECKPOINT_LOSS_MS = 1000  # ms; about what an attempt with checkpoints may lose
+DEPARTURE_SLACK_MS = 200  # ms; an attempt must end this long before its worker leaves
+DEPARTURE_STOP_MS = 1400  # ms; before a worker leaves, attempts with checkpoints are stopped: time for
+# the order, the stop, the report and a check
+PENDING_RESERVATIONS_MAX = (
+    8  # reservations waiting for a decision; further ones must retry: deciding one takes
+)
+# some ms beside many others, and a batch of hundreds would block everything else
+RESERVED_PERCENT = 50  # percent; of a kind's room that reservations may take, by default
+RESERVATION_PLAN_PERIOD_MS = 200  # ms; period at which the assignment of workers to reservations is checked
+RESERVATION_REASSIGN_MS = (
+    2000  # ms; a reservation short of workers is reassigned no more often without a change
+)
+RESERVATION_FINAL_CHOICE_MS = 60_000  # ms; this long before a window its workers are chosen once more
+RESERVATION_RECLAIM_MS = 2000  # ms; this long before a window lent room is reclaimed, if it is needed
+RESERVATION_GRACE_MS = 1000  # ms; into a window, before attempts without checkpoints are stopped too
+LENT_DURATION_FACTOR = 2  # times; work on lent room is expected to end within this many usual durations
+LENT_SLACK_MS = 1000  # ms; added to that, for the start and for the report of the end
+UNKNOWN_DURATION_MS = 3_600_000  # ms; assumed duration of work without an estimate or a known end
+GRANTED_SHAPES_KEPT = 500  # shapes; whose last grant is remembered
+LONG_WAITS_LOG_INTERVAL = 5.0  # s; long waits are logged no more often
+LONG_WAIT_MS = 5000  # ms; a wait that counts as long
+STEPS_PER_LOG_LINE = 6  # steps; named in one log line
+WORKER_ENDS_KEPT = 20  # ends of attempts remembered for each worker
+SICK_WORKER_FAILURE_RATE = 0.6  # fraction; assumed failure rate of a sick worker
+DEFAULT_FAILURE_RATE = 0.03  # fraction; assumed failure rate of a queue before any ends are observed
+FAILURE_RATE_NEWEST_WEIGHT = 0.02  # fraction; weight of the newest end in a queue's failure rate
+FAILURE_RATE_MIN = 0.02  # fraction; lowest failure rate assumed for a queue
+FAILURE_RATE_MAX = 0.4  # fraction; highest: above it failures would say nothing about the worker
+EVIDENCE_SUSPECTED = 1.5  # evidence; a worker is suspected from here on: one failure in a healthy queue
+EVIDENCE_SET_ASIDE = 4.0  # evidence; a worker is set aside from here on: two such failures
+EVIDENCE_HALF_LIFE_MS = 20_000  # ms; half-life of the evidence
+FAILURES_PER_STEP_MAX = 3  # failures of one step that count against one worker
+AMBIGUOUS_FAILURE_WEIGHT = 0.5  # fraction; weight of a failure whose step failed on a sick worker, too
+REEVALUATED_WORKERS_MAX = 12  # workers; a step with attempts on more is not re-evaluated at each end
+WORKER_STEPS_KEPT = 12  # steps; a worker's most recent ones, whose evidence may still be withdrawn
+STEP_RESULTS_KEPT = 2000  # steps; whose ends by worker are remembered
+PROBATION_MS = 5000  # ms; length of a worker's first probation; each relapse doubles it
+PROBATION_MAX_MS = 80_000  # ms; longest probation: at this length one attempt per probation may be lost
+RELAPSE_FORGOTTEN_MS = 60_000  # ms; without a relapse, after which one is forgotten
+TRIAL_SUCCESSES = 2  # consecutive good ends that complete a trial
+RECENT_SUCCESS_MS = 2000  # ms; a good end this recent makes a worker preferred for a retry
+RETRY_WAIT_MS = 1500  # ms; that a task's last attempt waits for a worker without suspicion
+PROBATION_WAIT_MAX_MS = 1500  # ms; longest wait of a step for lack of workers, while some are on probation
 
-CHAIN_STEPS = 60  # steps; of a longer job the estimates are added up, as if each waited for all
-CORE_MS = 1_000_000  # thousandths of a core times ms, in a core-second
-TRACES_MOST = 20_000  # open jobs that are traced; some hundred bytes each
-AIMS_MOST = 4000  # jobs; whose aims are remembered: past it they are worked out anew
-TRACE_LOOK_MS = 100  # ms; what keeps steps waiting is looked at this often
-TRACE_GAP_MS = 1000  # ms; a longer pause between two looks counts as none
-TRACE_STEPS = 400  # waiting steps in one look; the oldest come first
-TRACE_TELL_MS = 5000  # ms; between two lines of a queue
-DRAIN_LOOK_MS = 300  # ms; which workers are held back for a gang is thought over no oftener
-LEFT_LEAST_MS = 50  # ms; that an attempt still needs at least: a beat, until its end is told
-BACKFILL_TIMES = 1.5  # times its queue's usual time that a task may well take on a held worker
-LATE_TIMES = 3  # times its aim, up to which a job that comes late is of some use
-OVERDUE_PART = 0.5  # part; of its age that an attempt which is overdue is taken to need still
-USE_LOOK_MS = 250  # ms; the room that queues use is looked at this often
-USE_LOOKS = 40  # looks; that are remembered: ten seconds, some waves of a crowd
-HEADROOM_PART = 0.1  # part of a kind's room; no more is left free for what is more urgent
+CHAIN_STEPS_MAX = 60  # steps; the estimates of a longer job are summed, as if its steps ran one after another
+MILLICORE_MS_PER_CORE_S = 1_000_000  # one core-second in thousandths of a core times ms
+TRACED_JOBS_MAX = 20_000  # open jobs that are traced; some hundred bytes each
+TARGET_TIMES_CACHED_MAX = 4000  # jobs; whose target times are cached; beyond this they are computed again
+TRACE_CHECK_PERIOD_MS = 100  # ms; period at which the reasons of waiting steps are checked
+TRACE_GAP_MAX_MS = 1000  # ms; a longer pause between two checks is not counted as waiting
+TRACE_STEPS_PER_CHECK = 400  # waiting steps examined in one check; the oldest come first
+QUEUE_TRACE_INTERVAL_MS = 5000  # ms; between two log lines of a queue
+DRAIN_CHOICE_PERIOD_MS = 300  # ms; period at which the workers held for a gang are chosen again
+REMAINING_TIME_MIN_MS = (
+    50  # ms; lowest estimate of an attempt's remaining time: one heartbeat, which reports its end
+)
+BACKFILL_DURATION_FACTOR = 1.5  # times the queue's usual duration; allowed for a task on a held worker
+LATE_TIMES = 3  # times its target time; up to this a late job still has some value
+OVERDUE_REMAINING_FRACTION = 0.5  # fraction of its age; estimated remaining time of an overdue attempt
+USAGE_SAMPLE_PERIOD_MS = 250  # ms; period at which the room used by queues is sampled
+USAGE_SAMPLES_KEPT = 40  # samples kept: ten seconds, a few load peaks
+HEADROOM_FRACTION = 0.1  # fraction of a kind's room; most that is left free for more urgent work
--- a/hollowhall/desk/__init__.py
+++ b/hollowhall/desk/__init__.py
@@ -1,27 +1,26 @@
-"""desk: the scheduler. One desk is primary, by a hold in the store; the others are
-understudies that tail the record. This file is the pair: tailing, campaigning,
-taking over, and naming a successor on leaving."""
+"""The scheduler (role `desk`). One scheduler is primary, by a lease in the store; the others are
+standbys that tail the record. This module elects the primary, renews its lease, hands over to
+a successor on shutdown and holds the scheduler's state."""
 
 import asyncio
 
-from ..base import consts as C
-from ..base import events as E
+from ..base import constants, log_events
 from ..base.daemon import Daemon
 from ..base.problems import NotPrimary
-from ..base.ring_place import MemberMixin
+from ..base.ring_place import MonitoringMixin
 from ..record import Record
 from .beats import BeatsMixin
 from .budget_requests import BudgetRequestsMixin
 from .leaving import LeavingMixin
-from .outcomes import OutcomesMixin
-from .pace import PaceMixin
-from .placing import PlaceMixin
+from .outcomes import JobRequestsMixin
+from .pace import ProgressMixin
+from .placing import PlacementMixin
 from .policy import read_policy
 from .primary import PrimaryMixin
 from .record_tail import RecordTailMixin
 from .reservation_requests import ReservationRequestsMixin
 from .trace import TraceMixin
-from .turns import TurnsMixin
+from .turns import BatchesMixin
 
 PRIMARY_KEY, NEXT_KEY = "desk/primary", "desk/next"
 TAILING, OPENING, PRIMARY = "tailing", "opening", "primary"
@@ -30,188 +29,209 @@
 class Desk(
     RecordTailMixin,
     LeavingMixin,
-    PaceMixin,
+    ProgressMixin,
     TraceMixin,
     PrimaryMixin,
-    TurnsMixin,
-    PlaceMixin,
+    BatchesMixin,
+    PlacementMixin,
     BeatsMixin,
-    OutcomesMixin,
+    JobRequestsMixin,
     ReservationRequestsMixin,
     BudgetRequestsMixin,
-    MemberMixin,
+    MonitoringMixin,
     Daemon,
 ):
+    """A scheduler daemon, primary or standby.
+
+    `part` is its role in the election (TAILING, OPENING or PRIMARY), `epoch` the store revision at
+    which it became primary, `hold` the id of its lease and `until` when it stops acting as primary.
+    `applied` is the index of the last entry in `record`, `loaded` that of the last snapshot taken, and
+    `checksums` the record's checksums by index, to be compared with the store's.
+    """
+
     role = "desk"
     make_record = Record
 
-    def __init__(self, *, params, seam):
-        super().__init__(params=params, seam=seam)
-        self.policy = read_policy(off=params.policy_off)
+    def __init__(self, *, settings, runtime):
+        super().__init__(settings=settings, runtime=runtime)
+        self.policy = read_policy(off=settings.policy_off)
         self.record, self.applied = self.make_record(), 0
         self.part, self.epoch, self.hold, self.until = TAILING, 0, 0, 0.0
-        self.primary, self.marks, self.loaded = "", {}, 0
-        self.chunks = None  # a snapshot that comes in chunks: (whose, its bytes)
-        self.windows = {}  # worker: which of its last ends were failures
+        self.primary, self.checksums, self.snapshot_index = "", {}, 0
+        self.snapshot_chunks = None  # a snapshot that arrives in chunks: (its identity, bytes so far)
+        self.recent_failures = {}  # worker: whether each of its last attempts failed
 
     async def open(self):
-        self.open_turns()
+        self.open_batches()
         self.open_place()
         self.open_pace()
         self.open_trace()
         self.open_beats()
         self.open_budget_requests()
-        self.open_member()
-        self.run_task(co=self.tail(), name="tail")
-        self.run_task(co=self.pair(), name="pair")
-        self.run_task(co=self.listen_primary(), name="listen")
+        self.open_monitoring()
+        self.run_task(coroutine=self.tail(), name="tail")
+        self.run_task(coroutine=self.pair(), name="pair")
+        self.run_task(coroutine=self.listen_primary(), name="listen")
 
     def to(self, *, state):
-        """The one place where a desk's part in the pair changes."""
+        """Changes this scheduler's role in the election; nothing else does."""
         was, self.part = self.part, state
         if state == PRIMARY:
-            self.say(E.DESK_WON, epoch=self.epoch, index=self.applied)
+            self.say(log_events.DESK_WON, epoch=self.epoch, index=self.applied)
         elif was == PRIMARY:
-            self.say(E.DESK_LOST, epoch=self.epoch)
+            self.say(log_events.DESK_LOST, epoch=self.epoch)
             self.open_trace()
             self.drop_primary()
 
     def live(self):
-        """Whether we are primary now, by suspend-counting time."""
-        return self.part == PRIMARY and self.seam.now() < self.until
+        """Whether this scheduler is primary now, by a clock that also runs while the machine is suspended."""
+        return self.part == PRIMARY and self.runtime.now() < self.until
 
-    # --- the understudy
+    # --- the standby
 
-    def note_turn(self, d):
-        """A turn is about to be applied: what it says of workers and of work."""
-        ms = d["s"] >> C.LOGICAL_BITS
-        self.note_ends(d["v"])
-        self.note_health(evs=d["v"], ms=ms)
-        self.note_pace(evs=d["v"], ms=ms)
+    def note_batch(self, batch):
+        """Takes note of a batch's events before they are applied to the record."""
+        ms = batch["s"] >> constants.LOGICAL_BITS
+        self.note_ends(batch["v"])
+        self.note_health(events=batch["v"], ms=ms)
+        self.learn_durations(events=batch["v"], ms=ms)
         if self.part == PRIMARY:
-            self.note_trace(evs=d["v"], ms=ms)
+            self.note_trace(events=batch["v"], ms=ms)
 
-    # --- the pair
+    # --- the election
 
     async def pair(self):
+        """Watches for a free primary lease and campaigns for it, until this daemon leaves."""
         while not self.leaving:
-            o = await self.store(op="get", b={"p": "desk/"}, safe=True)
-            if not o.ok:
+            result = await self.store(op="get", request={"p": "desk/"}, safe=True)
+            if not result.ok:
                 continue
-            e, nxt = o.v["kv"].get(PRIMARY_KEY), o.v["kv"].get(NEXT_KEY)
-            self.primary = e["v"]["addr"] if e else ""
-            if e is not None and self.primary == self.params.addr:  # an earlier life's
-                await self.store(op="revoke", b={"hold": e["hold"]})
+            primary_entry, next_entry = result.value["kv"].get(PRIMARY_KEY), result.value["kv"].get(NEXT_KEY)
+            self.primary = primary_entry["v"]["addr"] if primary_entry else ""
+            if primary_entry is not None and self.primary == self.settings.addr:  # from before a restart
+                await self.store(op="revoke", request={"hold": primary_entry["hold"]})
                 continue
-            if e is not None:
-                o = await self.near(op="watch", b={"p": "desk/", "rev": o.v["rev"]}, wait=C.WATCH_WAIT + 1)
-                if not o.ok:
-                    await asyncio.sleep(C.HOLD_RETRY)
+            if primary_entry is not None:
+                result = await self.ask_any_member(
+                    op="watch",
+                    request={"p": "desk/", "rev": result.value["rev"]},
+                    wait=constants.LONG_POLL_TIMEOUT + 1,
+                )
+                if not result.ok:
+                    await asyncio.sleep(constants.KEEPALIVE_RETRY_DELAY)
                 continue
-            named = nxt["v"] if nxt else ""
-            if named and named != self.params.id and not self.held_back:
-                self.held_back = True  # the named one goes first, once
-                await asyncio.sleep(C.HOLD_KEEP)
+            successor = next_entry["v"] if next_entry else ""
+            if successor and successor != self.settings.id and not self.held_back:
+                self.held_back = True  # the named successor campaigns first, once
+                await asyncio.sleep(constants.KEEPALIVE_PERIOD)
                 continue
             self.held_back = False
-            await self.first_go()
-            if not self.can_open():
-                await asyncio.sleep(C.HOLD_KEEP)
+            await self.defer_campaign()
+            if not self.can_read_all():
+                await asyncio.sleep(constants.KEEPALIVE_PERIOD)
                 continue
             await self.campaign()
 
     held_back = False
 
-    async def first_go(self):
-        """A chance for another desk to go first; here there is no reason to."""
+    async def defer_campaign(self):
+        """Lets a scheduler that is better placed campaign first; a separate process has no preference."""
 
-    def can_open(self):
-        """Whether this desk could read all that was confirmed, were it primary."""
+    def can_read_all(self):
+        """Whether this scheduler could read all confirmed entries if it became primary."""
         return True
 
     def successor(self):
-        """The desk that is to go first when this one leaves; '' for whichever is first."""
+        """The id of the scheduler that is to campaign first when this one leaves; '' for no preference."""
         ids = sorted(
-            i
-            for i, e in self.view.items()
-            if e["role"] == "desk" and i != self.params.id and not e.get("down")
+            member_id
+            for member_id, card in self.fleet.items()
+            if card["role"] == "desk" and member_id != self.settings.id and not card.get("down")
         )
         return ids[0] if ids else ""
 
     def have(self):
+        """Index of the last entry held here; the store sends later ones with its answer."""
         return self.applied
 
     async def campaign(self):
-        at = self.seam.now()
-        o = await self.store(op="grant", b={"ttl": C.HOLD_TTL, "level": C.LEVEL})
-        if not o.ok:
+        """Acquires a lease, puts it on the primary key and serves as primary for as long as it lasts."""
+        asked_at = self.runtime.now()
+        result = await self.store(op="grant", request={"ttl": constants.LEASE_TTL, "level": constants.LEVEL})
+        if not result.ok:
             return
-        self.hold, self.until = o.v["hold"], at + C.HOLD_TTL - C.HOLD_SLACK
-        card = {"id": self.params.id, "addr": self.params.addr}
-        o = await self.store(
+        self.hold, self.until = (
+            result.value["hold"],
+            asked_at + constants.LEASE_TTL - constants.LEASE_SAFETY_MARGIN,
+        )
+        card = {"id": self.settings.id, "addr": self.settings.addr}
+        result = await self.store(
             op="txn",
-            b={
+            request={
                 "cmp": [[PRIMARY_KEY, "made", 0]],
                 "then": [["put", PRIMARY_KEY, card, self.hold], ["put", NEXT_KEY, "", 0]],
             },
         )
-        if not (o.ok and o.v["yes"]):
-            if o.ok:
-                await self.store(op="revoke", b={"hold": self.hold})
+        if not (result.ok and result.value["yes"]):
+            if result.ok:
+                await self.store(op="revoke", request={"hold": self.hold})
             return
-        self.epoch, self.primary, behind = o.v["rev"], self.params.addr, False
-        keep = asyncio.ensure_future(self.keep())
+        self.epoch, self.primary, behind = result.value["rev"], self.settings.addr, False
+        renewal = asyncio.ensure_future(self.renew_lease())
         try:
             self.to(state=OPENING)
-            if await self.open_reign():
+            if await self.fence_earlier_epochs():
                 self.to(state=PRIMARY)
-                await self.turns()
-            elif self.seam.now() < self.until:  # others may be able to read it
+                await self.run_batches()
+            elif self.runtime.now() < self.until:  # another scheduler may be able to read the record
                 self.until, behind = 0.0, True
-                self.say(E.DESK_BEHIND, index=self.applied)
-                await self.store(op="revoke", b={"hold": self.hold}, safe=True, total=1.0)
+                self.say(log_events.DESK_BEHIND, index=self.applied)
+                await self.store(op="revoke", request={"hold": self.hold}, safe=True, total=1.0)
         finally:
-            keep.cancel()
+            renewal.cancel()
             self.to(state=TAILING)
         if behind:
-            await asyncio.sleep(C.HOLD_TTL)  # they go first: who lets go would be the first to know
-
-    async def keep(self):
-        gap = C.HOLD_KEEP
-        while self.seam.now() < self.until:
-            await asyncio.sleep(gap)
-            o, at, gap = await self.keep_lease(hold=self.hold)
-            if o.ok and self.seam.now() < self.until:
-                self.until = at + C.HOLD_TTL - C.HOLD_SLACK
-            elif type(o).__name__ == "Unknown":
+            # the others campaign first: whoever revokes the lease would learn of it before them
+            await asyncio.sleep(constants.LEASE_TTL)
+
+    async def renew_lease(self):
+        """Renews the primary's lease until it has expired or the store no longer knows it."""
+        pause = constants.KEEPALIVE_PERIOD
+        while self.runtime.now() < self.until:
+            await asyncio.sleep(pause)
+            result, granted_at, pause = await self.keep_lease(hold=self.hold)
+            if result.ok and self.runtime.now() < self.until:
+                self.until = granted_at + constants.LEASE_TTL - constants.LEASE_SAFETY_MARGIN
+            elif type(result).__name__ == "Unknown":
                 self.until = 0.0
 
-    async def open_reign(self):
-        """Reads all that was confirmed, then fences every earlier epoch."""
-        end = self.seam.now() + C.OPEN_WAIT
-        while self.seam.now() < min(self.until, end):
-            o = await self.store(op="where_to", b={}, safe=True, total=1.0)
-            if o.ok and await self.tail_to(o.v["i"], wait=1.0):
-                if await self.commit(evs=[["open"]]) is not None:
+    async def fence_earlier_epochs(self):
+        """Reads all confirmed entries, then commits a batch that fences every earlier epoch. True if both
+        were done within RECORD_READ_TIMEOUT and the lease."""
+        deadline = self.runtime.now() + constants.RECORD_READ_TIMEOUT
+        while self.runtime.now() < min(self.until, deadline):
+            result = await self.store(op="where_to", request={}, safe=True, total=1.0)
+            if result.ok and await self.tail_to(result.value["i"], wait=1.0):
+                if await self.commit(events=[["open"]]) is not None:
                     self.start_beats()
                     return True
         return False
 
     async def leave(self):
-        """The primary ends its turn, names the understudy, and lets its hold go."""
+        """Leaves; a primary first ends its batch, names a successor and revokes its lease."""
         await super().leave()
         if self.part != PRIMARY:
             return
-        await self.idle()
-        self.until, nxt = 0.0, self.successor()
-        self.say(E.DESK_NAMED, successor=nxt)
+        await self.wait_for_batch()
+        self.until, successor = 0.0, self.successor()
+        self.say(log_events.DESK_NAMED, successor=successor)
         await self.store(
             op="txn",
             safe=True,
             total=2.0,
-            b={"cmp": [[PRIMARY_KEY, "made", self.epoch]], "then": [["put", NEXT_KEY, nxt, 0]]},
+            request={"cmp": [[PRIMARY_KEY, "made", self.epoch]], "then": [["put", NEXT_KEY, successor, 0]]},
         )
-        await self.store(op="revoke", b={"hold": self.hold}, safe=True, total=2.0)
+        await self.store(op="revoke", request={"hold": self.hold}, safe=True, total=2.0)
 
     def not_primary(self):
-        return NotPrimary(hint=self.primary if self.primary != self.params.addr else "")
+        return NotPrimary(hint=self.primary if self.primary != self.settings.addr else "")
--- a/hollowhall/desk/care.py
+++ b/hollowhall/desk/care.py
@@ -1,137 +1,176 @@
-"""The care for workers beside their beats: who leaves, who is lost or declared gone,
-who fails more than its peers, and what time brings: run limits and old jobs."""
+"""Worker monitoring besides heartbeats: workers that leave, are lost or are declared gone by an
+operator, and periodic checks of leases, run limits, probation and old records."""
 
 import asyncio
 from collections import deque
 from functools import partial
 
-from ..base import consts as C
-from ..base import events as E
+from ..base import constants, log_events
 from ..base.loop_time import in_section
-from ..base.problems import Done, Refused, Unknown
+from ..base.problems import Refused, Success, Unknown
 from ..record.kinds import LOST
 from .probation import ProbationMixin
 from .reports import NEVER_BEGAN
 from .worker_session import WorkerSession
 
 
-class CareMixin(ProbationMixin):
-    def note_ends(self, evs):
-        """Every desk sees every end in the record, so a new primary knows each worker's
-        last ones as its forerunner did."""
-        for ev in evs:
-            g = self.record.legs.get(ev[1]) if ev[0] == "end" and ev[2] in ("ok", "bad") else None
-            if g is not None and not self.record.jobs[g.job].steps[g.step].spec.get("forever"):
-                self.windows.setdefault(g.worker, deque(maxlen=C.FLAKY_KEEP)).append(ev[2] == "bad")
+class WorkerChecksMixin(ProbationMixin):
+    """Monitors workers and runs the periodic checks of the primary."""
 
-    def on_leave(self, *, b, k, who):
+    def note_ends(self, events):
+        """Remembers the last results of each worker. Standbys do so too, so a new primary knows them as the
+        previous one did."""
+        for event in events:
+            attempt = (
+                self.record.attempts.get(event[1])
+                if event[0] == "end" and event[2] in ("ok", "bad")
+                else None
+            )
+            if attempt is not None and not self.record.jobs[attempt.job].steps[attempt.step].spec.get(
+                "forever"
+            ):
+                self.recent_failures.setdefault(
+                    attempt.worker, deque(maxlen=constants.WORKER_ENDS_KEPT)
+                ).append(event[2] == "bad")
+
+    def on_leave(self, *, request, callback, caller):
+        """Records that a worker leaves: it gets no new attempts."""
         if not self.live() or self.leaving:
-            k(self.not_primary())
+            callback(self.not_primary())
             return
 
-        def then(r, st):
-            if st is None:
-                k(r)
+        def then(result, stamp):
+            if stamp is None:
+                callback(result)
                 return
-            if r[0] == "ok":
-                self.say(E.WORKER_LEAVES, worker=b["id"])
-            k(Done(v={"result": r[0], "stamp": str(st)}))
+            if result[0] == "ok":
+                self.say(log_events.WORKER_LEAVES, worker=request["id"])
+            callback(Success(value={"result": result[0], "stamp": str(stamp)}))
 
-        self.hold_event(ev=["leave", b["id"], b["boot"]], k=then)
+        self.queue_event(event=["leave", request["id"], request["boot"]], callback=then)
 
-    def lost(self, i, h, r, st):
-        h.asked = h.going = False
-        if st is not None and r[0] == "waits":
-            self.say(E.WORKER_LONE, worker=i, legs=r[1])
-        elif st is not None and r[0] == "ok":
-            self.say(E.WORKER_LOST, worker=i)
+    def lost(self, worker_id, session, result, stamp):
+        """The callback for a `lost` event."""
+        session.status_pending = session.lost_pending = False
+        if stamp is not None and result[0] == "waits":
+            self.say(log_events.WORKER_LONE, worker=worker_id, legs=result[1])
+        elif stamp is not None and result[0] == "ok":
+            self.say(log_events.WORKER_LOST, worker=worker_id)
 
-    def on_gone(self, *, b, k, who):
-        """An operator says that a lost worker runs nothing; not of one that is heard."""
+    def on_gone(self, *, request, callback, caller):
+        """An operator declares that a lost worker runs nothing. Refused for a worker whose lease is valid."""
         if not self.live() or self.leaving:
-            k(self.not_primary())
+            callback(self.not_primary())
             return
-        i = b["id"]
-        w, h = self.record.workers.get(i), self.sessions.get(i)
-        if w is None:
-            k(Unknown(what="worker", id=i))
-        elif w.state != LOST or h is not None and h.seq >= 0 and self.seam.now() < h.until:
-            k(Refused(why="the worker is not lost"))
+        worker_id = request["id"]
+        worker, session = self.record.workers.get(worker_id), self.sessions.get(worker_id)
+        if worker is None:
+            callback(Unknown(what="worker", id=worker_id))
+        elif (
+            worker.state != LOST
+            or session is not None
+            and session.seq >= 0
+            and self.runtime.now() < session.until
+        ):
+            callback(Refused(why="the worker is not lost"))
         else:
 
-            def then(r, st):
-                if st is None:
-                    k(r)
-                elif r[0] == "ok":
-                    self.say(E.WORKER_GONE, worker=i)
-                    k(Done(v={"worker": i, "state": "gone", "stamp": str(st)}))
+            def then(result, stamp):
+                if stamp is None:
+                    callback(result)
+                elif result[0] == "ok":
+                    self.say(log_events.WORKER_GONE, worker=worker_id)
+                    callback(Success(value={"worker": worker_id, "state": "gone", "stamp": str(stamp)}))
                 else:
-                    k(Refused(why="the worker is not lost") if r[0] == "no" else Unknown(what="worker", id=i))
+                    callback(
+                        Refused(why="the worker is not lost")
+                        if result[0] == "no"
+                        else Unknown(what="worker", id=worker_id)
+                    )
 
-            self.hold_event(ev=["gone", i, w.boot], k=then)
+            self.queue_event(event=["gone", worker_id, worker.boot], callback=then)
 
-    waits_said = 0.0
+    waits_logged_at = 0.0  # s; by our clock
 
-    def say_waits(self, *, now, ms):
-        """What keeps steps that wait longer than they should, a few of them, now and then."""
-        if now - self.waits_said < C.WAITS_SAY:
+    def log_long_waits(self, *, now, ms):
+        """Logs why steps wait longer than LONG_WAIT_MS: a few of them, at most every LONG_WAITS_LOG_INTERVAL seconds."""
+        if now - self.waits_logged_at < constants.LONG_WAITS_LOG_INTERVAL:
             return
-        old = [
-            k
-            for k, ts in self.record.ready.items()
-            if ms - min(max(t.at >> C.LOGICAL_BITS, t.due) for t in ts.values()) > C.WAITS_LONG_MS
+        overdue = [
+            key
+            for key, tasks in self.record.ready.items()
+            if ms - min(max(task.at >> constants.LOGICAL_BITS, task.due) for task in tasks.values())
+            > constants.LONG_WAIT_MS
         ]
-        if old:
-            self.waits_said = now
+        if overdue:
+            self.waits_logged_at = now
             self.say(
-                E.WAITS_LONG,
-                steps=len(old),
-                first=["/".join(k) + " " + self.why_waits(k) for k in old[: C.WAITS_FEW]],
+                log_events.WAITS_LONG,
+                steps=len(overdue),
+                first=[
+                    "/".join(key) + " " + self.wait_reason(key)
+                    for key in overdue[: constants.STEPS_PER_LOG_LINE]
+                ],
             )
 
-    async def mind(self):
-        """Looks after what time brings: lost workers, run limits, old jobs."""
+    async def watch_workers(self):
+        """Runs the periodic checks for as long as the daemon lives."""
         while True:
-            await asyncio.sleep(C.PEEK_BACK)
+            await asyncio.sleep(constants.ENDED_JOBS_CHECK_PERIOD)
             if self.live():
-                self.look_after(now=self.seam.now(), ms=self.clock_ms())
+                self.check_workers(now=self.runtime.now(), ms=self.clock_ms())
 
     @in_section("look_after")
-    def look_after(self, *, now, ms):
-        """One look at what time brings."""
-        for i, w in list(self.record.workers.items()):
-            h = self.sessions.setdefault(i, WorkerSession(boot=w.boot, until=now + self.lease_s()))
-            if now > h.until and not h.asked and not h.ends and w.state != LOST:
-                h.asked = h.going = True
-                saved = {r: x for r, x in h.saved.items() if x}
-                self.hold_event(
-                    ev=["lost", i, w.boot] + ([saved] if saved else []), k=partial(self.lost, i, h)
+    def check_workers(self, *, now, ms):
+        """One round of checks: expired leases, starts that never happened, progress, probation, run limits
+        and records that are old enough to be forgotten."""
+        for worker_id, worker in list(self.record.workers.items()):
+            session = self.sessions.setdefault(
+                worker_id, WorkerSession(boot=worker.boot, until=now + self.lease_s())
+            )
+            if (
+                now > session.until
+                and not session.status_pending
+                and not session.ends
+                and worker.state != LOST
+            ):
+                session.status_pending = session.lost_pending = True
+                saved = {key: checkpoint for key, checkpoint in session.saved.items() if checkpoint}
+                self.queue_event(
+                    event=["lost", worker_id, worker.boot] + ([saved] if saved else []),
+                    callback=partial(self.lost, worker_id, session),
                 )
-            for run in self.never_began(h=h, w=w) if h.named else ():
-                h.ending.add(run)
-                self.hold_event(
-                    ev=["end", run, "stopped", NEVER_BEGAN],
-                    k=lambda result, stamp, h=h, run=run: h.ending.discard(run),
+            for run in self.never_began(session=session, worker=worker) if session.names_attempts else ():
+                session.ending.add(run)
+                self.queue_event(
+                    event=["end", run, "stopped", NEVER_BEGAN],
+                    callback=lambda result, stamp, session=session, run=run: session.ending.discard(run),
                 )
-        self.look_at_pace(now=now, ms=ms)
-        self.copy_silent(now=now, ms=ms)
-        self.move_in_time(now=now, ms=ms)
-        self.say_waits(now=now, ms=ms)
+        self.judge_progress(now=now, ms=ms)
+        self.copy_silent_workers(now=now, ms=ms)
+        self.stop_before_departure(now=now, ms=ms)
+        self.log_long_waits(now=now, ms=ms)
         self.lift_probation()
-        self.lift_needed(ms=ms)
-        self.look_at_health(ms=ms)
-        for i in [i for i in self.windows if i not in self.record.workers]:
-            del self.windows[i]
-        for g in self.record.legs.values():
-            lim = self.record.jobs[g.job].steps[g.step].spec["runMs"]
-            if lim and not g.stop and ms > (g.run >> C.LOGICAL_BITS) + lim:
-                self.hold_event(ev=["stop", g.run, "limit"])
+        self.retry_needed_workers(ms=ms)
+        self.check_health(ms=ms)
+        for worker_id in [
+            worker_id for worker_id in self.recent_failures if worker_id not in self.record.workers
+        ]:
+            del self.recent_failures[worker_id]
+        for attempt in self.record.attempts.values():
+            limit_ms = self.record.jobs[attempt.job].steps[attempt.step].spec["runMs"]
+            if limit_ms and not attempt.stop and ms > (attempt.run >> constants.LOGICAL_BITS) + limit_ms:
+                self.queue_event(event=["stop", attempt.run, "limit"])
         if (
             self.record.ended
-            and (self.record.ended[0][0] >> C.LOGICAL_BITS) + self.record.rule["readable_ms"] < ms
+            and (self.record.ended[0][0] >> constants.LOGICAL_BITS) + self.record.rule["readable_ms"] < ms
             or self.record.reservations
             and self.record.old_reservations(now=ms)
         ):
-            self.hold_event(ev=["forget"])
-        for i in [i for i in self.sessions if i not in self.record.workers and now > self.sessions[i].until]:
-            del self.sessions[i]
+            self.queue_event(event=["forget"])
+        for worker_id in [
+            worker_id
+            for worker_id in self.sessions
+            if worker_id not in self.record.workers and now > self.sessions[worker_id].until
+        ]:
+            del self.sessions[worker_id]
--- a/hollowhall/desk/leaving.py
+++ b/hollowhall/desk/leaving.py
@@ -1,55 +1,69 @@
-"""Work on workers that said when they will be gone. What will have ended by then is left
-alone. What leaves checkpoints goes on until shortly before, and is stopped in time to
-hand its last one over; anything else that cannot end in time is begun again elsewhere
-at once, as far as its progress tells."""
+"""Attempts on workers that announced when they will leave. An attempt that is expected to end in
+time is left alone. One that writes checkpoints is stopped shortly before, in time to hand over
+its last checkpoint. Any other one is stopped at once, to restart elsewhere."""
 
-from ..base import consts as C
+from ..base import constants
 from ..record.kinds import LEAVES
 from .worker_session import WorkerSession
 
 
 class LeavingMixin:
-    def move_in_time(self, *, now, ms):
-        """Stops what a leaving worker would take along."""
+    """Stops attempts that cannot end before their worker leaves; estimates how long attempts still need."""
+
+    def stop_before_departure(self, *, now, ms):
+        """Stops attempts that will not end before their worker leaves; of a gang, all members."""
         if not self.policy.rescue_leaving:
             return
-        for i, h in self.sessions.items():
-            w = self.record.workers.get(i)
-            if w is None or w.state != LEAVES or h.leave_at is None:
+        for worker_id, session in self.sessions.items():
+            worker = self.record.workers.get(worker_id)
+            if worker is None or worker.state != LEAVES or session.leave_at is None:
                 continue
-            left = (h.leave_at - now) * 1000
-            for g in list(w.runs.values()):
-                if g.stop or h.unsettled(g.run):
+            left_ms = (session.leave_at - now) * 1000
+            for attempt in list(worker.runs.values()):
+                if attempt.stop or session.unsettled(attempt.run):
                     continue
-                j = self.record.jobs[g.job]
-                sp = j.steps[g.step].spec
-                needs = self.needs_ms(g=g, h=h, sp=sp, now=now, ms=ms)
-                if needs < left - C.LEAVE_SLACK_MS:
+                job = self.record.jobs[attempt.job]
+                spec = job.steps[attempt.step].spec
+                remaining_ms = self.estimated_remaining_ms(
+                    attempt=attempt, session=session, spec=spec, now=now, ms=ms
+                )
+                if remaining_ms < left_ms - constants.DEPARTURE_SLACK_MS:
                     continue
-                if sp.get("saves") and left > C.LEAVE_LAST_MS:
-                    continue  # it may work on for a while, nothing of it is lost
-                for x in self.record.legs_of(j) if sp.get("gang") else [g]:
-                    if x.step == g.step and not x.stop:
-                        self.hold_event(ev=["stop", x.run, "leave"])
+                if spec.get("saves") and left_ms > constants.DEPARTURE_STOP_MS:
+                    continue  # it may go on for now: its last checkpoint will be handed over
+                for member in self.record.attempts_of(job) if spec.get("gang") else [attempt]:
+                    if member.step == attempt.step and not member.stop:
+                        self.queue_event(event=["stop", member.run, "leave"])
 
-    def left_ms_of(self, g):
-        """How long an attempt still needs, about; never nothing while it runs. What has run for longer
-        than it should, without word of its progress, is taken to need half as long again."""
-        hand = self.sessions.get(g.worker) or WorkerSession()
-        sp = self.record.jobs[g.job].steps[g.step].spec
-        left = self.needs_ms(g=g, h=hand, sp=sp, now=self.seam.now(), ms=self.clock_ms())
-        age = self.clock_ms() - (g.run >> C.LOGICAL_BITS)
-        return max(C.LEFT_LEAST_MS, left if left > 0 else C.OVERDUE_PART * age)
+    def remaining_ms_of(self, attempt):
+        """Estimated ms until an attempt ends, at least REMAINING_TIME_MIN_MS. One that has run past its estimate and
+        reports no progress is taken to need OVERDUE_REMAINING_FRACTION of its age."""
+        session = self.sessions.get(attempt.worker) or WorkerSession()
+        spec = self.record.jobs[attempt.job].steps[attempt.step].spec
+        remaining_ms = self.estimated_remaining_ms(
+            attempt=attempt, session=session, spec=spec, now=self.runtime.now(), ms=self.clock_ms()
+        )
+        age_ms = self.clock_ms() - (attempt.run >> constants.LOGICAL_BITS)
+        return max(
+            constants.REMAINING_TIME_MIN_MS,
+            remaining_ms if remaining_ms > 0 else constants.OVERDUE_REMAINING_FRACTION * age_ms,
+        )
 
-    def needs_ms(self, *, g, h, sp, now, ms):
-        """How long an attempt still needs, by its progress, else by its lane's usual time."""
-        if sp.get("forever"):
+    def estimated_remaining_ms(self, *, attempt, session, spec, now, ms):
+        """Estimated ms until an attempt ends, by its progress, else by its lane's usual time; 0 if late."""
+        if spec.get("forever"):
             return float("inf")
-        usual = self.lane_ms.get(g.lane) or sp.get("estimateMs") or C.FAR_MS
-        if g.run in h.far:
-            percent, _, first, at = h.far[g.run]
-            age = (now - at) * 1000
-            if age > C.PACE_AGE_MS and percent > first:
-                return (100 - percent) * age / (percent - first)
-            usual *= (100 - percent) / 100
-        return max(0.0, usual * self.stretch(g) - (0 if g.run in h.far else ms - (g.run >> C.LOGICAL_BITS)))
+        usual_ms = (
+            self.usual_ms_by_lane.get(attempt.lane) or spec.get("estimateMs") or constants.DEFAULT_TASK_MS
+        )
+        if attempt.run in session.progress:
+            percent, _, first_percent, first_at = session.progress[attempt.run]
+            age_ms = (now - first_at) * 1000
+            if age_ms > constants.PROGRESS_MIN_AGE_MS and percent > first_percent:
+                return (100 - percent) * age_ms / (percent - first_percent)
+            usual_ms *= (100 - percent) / 100
+        return max(
+            0.0,
+            usual_ms * self.stretch(attempt)
+            - (0 if attempt.run in session.progress else ms - (attempt.run >> constants.LOGICAL_BITS)),
+        )
--- a/hollowhall/desk/primary.py
+++ b/hollowhall/desk/primary.py
@@ -1,34 +1,42 @@
-"""Which desk is primary, for those who ask a desk that is not: an understudy looks for
-itself whether the primary lives, since a lease tells of a death only once it has run out."""
+"""Which scheduler is primary, for callers that reach a standby. A standby probes the primary itself,
+since the lease shows its death only after it has expired."""
 
 import asyncio
 
-from ..base import consts as C
+from ..base import constants
 
 
 class PrimaryMixin:
+    """Probes the primary and tells its address."""
+
     async def listen_primary(self):
-        """An understudy's own look at whether the primary lives: a lease says so late."""
+        """Probes the primary every PRIMARY_CHECK_PERIOD seconds while this scheduler is a standby."""
         while True:
-            await asyncio.sleep(C.PRIMARY_LOOK)
-            a = self.primary
-            if a and a != self.params.addr and not self.live():
-                o = await self.link(addr=a).call(op="where", b={}, wait=C.PRIMARY_DEAF)
-                if o.ok:
-                    self.heard_primary = (a, self.seam.now())
+            await asyncio.sleep(constants.PRIMARY_CHECK_PERIOD)
+            addr = self.primary
+            if addr and addr != self.settings.addr and not self.live():
+                result = await self.link(addr=addr).call(
+                    op="where", request={}, wait=constants.PRIMARY_SILENT_MAX
+                )
+                if result.ok:
+                    self.heard_primary = (addr, self.runtime.now())
 
     heard_primary = ("", 0.0)
 
     def known_primary(self):
-        """The primary's address where it is known to live; else ''."""
-        a, at = self.heard_primary
+        """The primary's address if it answered within PRIMARY_SILENT_MAX seconds; else ''."""
+        addr, heard_at = self.heard_primary
         if self.live():
-            return self.params.addr
-        return a if a == self.primary and self.seam.now() - at < C.PRIMARY_DEAF else ""
+            return self.settings.addr
+        return (
+            addr
+            if addr == self.primary and self.runtime.now() - heard_at < constants.PRIMARY_SILENT_MAX
+            else ""
+        )
 
     async def find_primary(self):
-        """The primary's address, once one is known; '' after a while."""
-        end = self.seam.now() + C.PRIMARY_WAIT
-        while not self.known_primary() and self.seam.now() < end and not self.leaving:
-            await asyncio.sleep(C.ATTEMPT_GAP)
+        """Waits up to FIND_PRIMARY_TIMEOUT seconds for a live primary; returns its address or ''."""
+        deadline = self.runtime.now() + constants.FIND_PRIMARY_TIMEOUT
+        while not self.known_primary() and self.runtime.now() < deadline and not self.leaving:
+            await asyncio.sleep(constants.REQUEST_ATTEMPT_PAUSE)
         return self.known_primary()
--- a/hollowhall/desk/reservation_requests.py
+++ b/hollowhall/desk/reservation_requests.py
@@ -1,122 +1,143 @@
-"""What a desk answers of reservations: one is confirmed, refused with a reason, shortened
-or released by an event of a turn, and told once that is committed; reads are answered by
-a primary whose lease has not run out, from the record."""
+"""Requests about reservations.
 
-from ..base import consts as C
+An event of a decision batch confirms a reservation, refuses it with a reason, shortens it or releases it;
+the answer is sent once that is committed. Reads are answered from the record by a primary whose lease has
+not expired."""
+
+from ..base import constants
 from ..base.circuit import pack
-from ..base.problems import Done, Full, NotReserved, NotSynced, OtherBody, Unknown
+from ..base.problems import Full, NotReserved, NotSynced, OtherBody, Success, Unknown
 
 
 class ReservationRequestsMixin:
-    reserve_n = 0  # reservations held for a turn, or in one
+    """The scheduler's handlers of requests about reservations."""
+
+    reserves_pending = 0  # new reservations that wait for a decision batch or are in one
 
-    def reservation_ready(self, k):
-        if self.ready_to(k) and self.record.level < 3:
-            k(NotSynced(tries=0))  # not every daemon knows reservations yet
+    def reservation_ready(self, callback):
+        """Whether a change of a reservation can be accepted now; if not, the callback may have been called
+        with the reason."""
+        if self.check_primary(callback) and self.record.level < 3:
+            callback(NotSynced(tries=0))  # some daemons are of a version without reservations
             return False
         return self.live() and not self.leaving
 
-    def reservation_told(self, *, n, k, good):
-        """What k is told of reservation n once the turn is over."""
-
-        def then(r, st):
-            if st is None:
-                k(r)
-            elif r[0] in good:
-                k(Done(v=self.reservation_view(n) | good[r[0]]))
-            elif r[0] == "other":
-                k(OtherBody(name=n))
-            elif r[0] == "no":
-                k(NotReserved(why=r[1], free=r[2]))
+    def reservation_callback(self, *, name, callback, answers):
+        """A function that passes the result of a batch's event on a reservation to `callback`. answers: by
+        result, what is added to the view of the reservation."""
+
+        def then(result, stamp):
+            if stamp is None:
+                callback(result)
+            elif result[0] in answers:
+                callback(Success(value=self.reservation_view(name) | answers[result[0]]))
+            elif result[0] == "other":
+                callback(OtherBody(name=name))
+            elif result[0] == "no":
+                callback(NotReserved(why=result[1], free=result[2]))
             else:
-                k(Unknown(what="reservation", id=n))
+                callback(Unknown(what="reservation", id=name))
 
         return then
 
-    def on_reserve(self, *, b, k, who):
-        """b: name, spec and digest, as check_reservation gives them."""
-        if not self.reservation_ready(k):
+    def on_reserve(self, *, request, callback, caller):
+        """request: name, spec and digest, as check_reservation returns them."""
+        if not self.reservation_ready(callback):
             return
-        n = b["name"]
-        r = self.record.reservations.get(n)
-        if r is not None:  # a resend of what is recorded needs no turn
-            k(
-                Done(v=self.reservation_view(n) | {"new": False})
-                if r.digest == b["digest"]
-                else OtherBody(name=n)
+        name = request["name"]
+        reservation = self.record.reservations.get(name)
+        if reservation is not None:  # a repeated request for a recorded reservation needs no event
+            callback(
+                Success(value=self.reservation_view(name) | {"new": False})
+                if reservation.digest == request["digest"]
+                else OtherBody(name=name)
             )
             return
-        if self.reserve_n >= C.RESERVE_HELD:  # each takes a while to be judged
-            k(Full(where="desk", after=C.RETRY_AFTER))
+        if self.reserves_pending >= constants.PENDING_RESERVATIONS_MAX:  # checking a reservation takes long
+            callback(Full(where="desk", after=constants.RETRY_AFTER))
             return
-        self.reserve_n += 1
-        then = self.reservation_told(n=n, k=k, good={"new": {"new": True}, "same": {"new": False}})
+        self.reserves_pending += 1
+        then = self.reservation_callback(
+            name=name, callback=callback, answers={"new": {"new": True}, "same": {"new": False}}
+        )
 
-        def back(r, st):
-            self.reserve_n -= 1
-            then(r, st)
+        def back(result, stamp):
+            self.reserves_pending -= 1
+            then(result, stamp)
 
-        self.hold_event(
-            ev=["reserve", n, b["spec"], b["digest"], self.params.reserved_percent],
-            size=len(pack(b["spec"])) + 256,
-            k=back,
+        self.queue_event(
+            event=["reserve", name, request["spec"], request["digest"], self.settings.reserved_percent],
+            size=len(pack(request["spec"])) + 256,
+            callback=back,
         )
 
-    def on_release(self, *, b, k, who):
-        if self.reservation_ready(k):
-            self.hold_event(
-                ev=["release", b["name"]], k=self.reservation_told(n=b["name"], k=k, good={"ok": {}})
+    def on_release(self, *, request, callback, caller):
+        if self.reservation_ready(callback):
+            self.queue_event(
+                event=["release", request["name"]],
+                callback=self.reservation_callback(
+                    name=request["name"], callback=callback, answers={"ok": {}}
+                ),
             )
 
-    def on_shorten(self, *, b, k, who):
-        """b: name, untilMs and count, either of them None to stay."""
-        if self.reservation_ready(k):
-            self.hold_event(
-                ev=["shorten", b["name"], b["untilMs"], b["count"]],
-                k=self.reservation_told(n=b["name"], k=k, good={"ok": {}}),
+    def on_shorten(self, *, request, callback, caller):
+        """request: name, untilMs and count; None for either of these keeps it."""
+        if self.reservation_ready(callback):
+            self.queue_event(
+                event=["shorten", request["name"], request["untilMs"], request["count"]],
+                callback=self.reservation_callback(
+                    name=request["name"], callback=callback, answers={"ok": {}}
+                ),
             )
 
-    def on_reservation(self, *, b, k, who):
-        if self.ready_to(k):
-            n = b["name"]
-            k(
-                Done(v=self.reservation_view(n))
-                if n in self.record.reservations
-                else Unknown(what="reservation", id=n)
+    def on_reservation(self, *, request, callback, caller):
+        if self.check_primary(callback):
+            name = request["name"]
+            callback(
+                Success(value=self.reservation_view(name))
+                if name in self.record.reservations
+                else Unknown(what="reservation", id=name)
             )
 
-    def on_reservations(self, *, b, k, who):
-        """Those of a lane, or all; by their windows."""
-        if self.ready_to(k):
-            rs = [r for r in self.record.reservations.values() if b["lane"] in ("", *r.lanes)]
-            k(
-                Done(
-                    v={
+    def on_reservations(self, *, request, callback, caller):
+        """The reservations of a queue, or all, by the begin of their windows."""
+        if self.check_primary(callback):
+            reservations = [
+                reservation
+                for reservation in self.record.reservations.values()
+                if request["lane"] in ("", *reservation.lanes)
+            ]
+            callback(
+                Success(
+                    value={
                         "reservations": [
-                            self.reservation_view(r.id) for r in sorted(rs, key=lambda r: (r.begin, r.id))
+                            self.reservation_view(reservation.id)
+                            for reservation in sorted(
+                                reservations, key=lambda reservation: (reservation.begin, reservation.id)
+                            )
                         ]
                     }
                 )
             )
 
-    def reservation_view(self, n):
-        """A reservation as clients see it. planned: how many of the count the workers that
-        are well now would serve; fewer than the count after the fleet shrank."""
-        r, at = self.record.reservations[n], {}
+    def reservation_view(self, name):
+        """A reservation as clients see it. planned: how many of its rooms the workers that are healthy now
+        can serve; fewer than count after the fleet shrank."""
+        reservation, workers = self.record.reservations[name], {}
         if (plan := self.plan_now(ms=self.clock_ms())) is not None:
-            at = plan.at.get(n, {})
+            workers = plan.assigned.get(name, {})
         return {
-            "name": n,
-            "kind": r.kind,
-            "zone": r.zone,
-            "label": r.label,
-            "lanes": r.lanes,
-            "room": dict(zip(("cores", "memMb", "gpus"), r.room)),
-            "count": r.count,
-            "fromMs": r.begin,
-            "untilMs": r.until,
-            "state": r.phase(self.clock_ms()),
-            "stamp": str(r.stamp),
-            "planned": sum(at.values()),
-            "workers": at,
+            "name": name,
+            "kind": reservation.kind,
+            "zone": reservation.zone,
+            "label": reservation.label,
+            "lanes": reservation.lanes,
+            "room": dict(zip(("cores", "memMb", "gpus"), reservation.room)),
+            "count": reservation.count,
+            "fromMs": reservation.begin,
+            "untilMs": reservation.until,
+            "state": reservation.phase(self.clock_ms()),
+            "stamp": str(reservation.stamp),
+            "planned": sum(workers.values()),
+            "workers": workers,
         }
--- a/hollowhall/explore/replica.py
+++ b/hollowhall/explore/replica.py
@@ -1,67 +1,68 @@
-"""The store's replica as the daemons run it, with its periodic tasks taken out: what they would
-begin by a timer, the scheduler begins by an event."""
+"""The store's replica without its periodic tasks: what a timer starts in a daemon is started by
+an event here."""
 
 import asyncio
 import random
 
-from ..almanac import Almanac
+from ..almanac import StoreMember
 from ..almanac.vote import LEADER
-from ..base import consts as C
+from ..base import constants
 from ..sim.disk import SimDisk
-from .network import ModelLink
+from .network import ModelRpcClient
 
-BEGUN_BY_THE_REPLICA = {"disk", "snaps", "campaign", "renew", "change", "step out"}
+TASKS_THAT_RUN = {"disk", "snaps", "campaign", "renew", "change", "step out"}
 
 
-class NotRun:
-    """Stands for a periodic task that the scheduler replaces by events."""
+class OmittedTask:
+    """Replaces a periodic task whose work is started by events."""
 
     def cancel(self):
         pass
 
 
 class ModelDisk(SimDisk):
-    """A disk whose syncs end at once, or wait for an event where `held` is set."""
+    """A disk whose syncs complete at once, or wait for an event while `syncs_held` is set."""
 
     def __init__(self):
         super().__init__(rng=random.Random(0))
-        self.held, self.waiting = False, []
+        self.syncs_held, self.waiting_syncs = False, []
 
     async def wait(self):
-        if self.held:
-            self.waiting.append(asyncio.get_running_loop().create_future())
-            await self.waiting[-1]
+        if self.syncs_held:
+            self.waiting_syncs.append(asyncio.get_running_loop().create_future())
+            await self.waiting_syncs[-1]
         else:
             await asyncio.sleep(0)
 
-    def release(self):
-        """One sync ends."""
-        self.waiting.pop(0).set_result(None)
+    def complete_sync(self):
+        """Completes the oldest waiting sync."""
+        self.waiting_syncs.pop(0).set_result(None)
 
-    def lose_power(self, *, wrote, renamed):
-        """What was not synced is kept or lost: bytes of a file, and the name of a new one."""
+    def lose_power(self, *, keep_writes, keep_renames):
+        """Loses unsynced bytes of files unless `keep_writes`, and an unsynced whole-file write unless
+        `keep_renames`."""
         for file in self.files.values():
-            if wrote:
+            if keep_writes:
                 file.settle()
-            file.pending = None
-        if renamed and self.half is not None:
-            self.wholes[self.half[0]] = self.half[1]
-        self.half, self.waiting = None, []
+            file.unsynced = None
+        if keep_renames and self.unsynced_whole_file is not None:
+            self.whole_files[self.unsynced_whole_file[0]] = self.unsynced_whole_file[1]
+        self.unsynced_whole_file, self.waiting_syncs = None, []
 
     def end_of_process(self):
-        """The process ends; what it wrote stays in the page cache of the machine."""
+        """The process ends; its writes survive in the machine's page cache."""
         for file in self.files.values():
             file.settle()
-        self.half, self.waiting = None, []
+        self.unsynced_whole_file, self.waiting_syncs = None, []
 
     def copy_from(self, other):
-        self.files, self.wholes, self.half = {}, dict(other.wholes), None
+        self.files, self.whole_files, self.unsynced_whole_file = {}, dict(other.whole_files), None
         for name, file in other.files.items():
             self.file(name=name, size=file.size).safe[:] = file.safe
 
 
-class ModelSeam:
-    """Time, randomness and disk of one replica."""
+class ModelRuntime:
+    """Clock, random numbers, disk and event log of one replica."""
 
     def __init__(self, *, loop, disk, seed):
         self.loop, self.disk, self.rng, self.events = loop, disk, random.Random(seed), []
@@ -76,63 +77,63 @@
         pass
 
     def writer(self, *, name):
-        return lambda event, **fields: self.events.append((event.no, fields))
+        return lambda event, **fields: self.events.append((event.number, fields))
 
 
-class ModelReplica(Almanac):
-    """One incarnation of a replica; `life` numbers it."""
+class ModelReplica(StoreMember):
+    """A replica from one start to the next; `incarnation` counts its starts."""
 
-    def __init__(self, *, params, seam, network, life):
-        self.network, self.life, self.tasks = network, life, []
-        super().__init__(params=params, seam=seam)
+    def __init__(self, *, settings, runtime, network, incarnation):
+        self.network, self.incarnation, self.tasks = network, incarnation, []
+        super().__init__(settings=settings, runtime=runtime)
 
     def link(self, *, addr):
         if addr not in self.links:
-            self.links[addr] = ModelLink(replica=self, network=self.network, address=addr)
+            self.links[addr] = ModelRpcClient(replica=self, network=self.network, address=addr)
         return self.links[addr]
 
-    def run_task(self, *, co, name=""):
-        if name not in BEGUN_BY_THE_REPLICA:
-            co.close()
-            return NotRun()
-        task = self.seam.loop.create_task(co)
+    def run_task(self, *, coroutine, name=""):
+        if name not in TASKS_THAT_RUN:
+            coroutine.close()
+            return OmittedTask()
+        task = self.runtime.loop.create_task(coroutine)
         self.tasks.append(task)
         return task
 
     def boot(self):
-        """What a start does before the periodic tasks: read the disk, open each part."""
+        """Reads the disk and opens each part, as a start does before the periodic tasks."""
         self.ended = asyncio.Event()
         self.open_store()
-        self.open_conf()
-        self.disk_ev = asyncio.Event()
-        self.open_pictures()
+        self.open_membership()
+        self.disk_event = asyncio.Event()
+        self.open_snapshots()
         self.open_serve()
         self.open_clock()
         self.restore()
         self.open_members()
-        self.run_task(co=self.keep_disk(), name="disk")
-        self.run_task(co=self.keep_snaps(), name="snaps")
+        self.run_task(coroutine=self.keep_disk(), name="disk")
+        self.run_task(coroutine=self.run_snapshots(), name="snaps")
         self.open_joining()
         self.opened = True
-        self.use_conf()
+        self.apply_membership()
 
     def stop(self):
         for task in self.tasks:
             task.cancel()
 
-    # --- what the periodic tasks would begin
+    # --- work of the periodic tasks
 
     def time_out(self):
-        """What the watchdog does once this replica has waited for too long."""
-        if self.rank == LEADER:
-            if self.quorum_age() > C.ELECT_MAX:
+        """What the leader check does after an election timeout: step down, recover, or campaign."""
+        if self.election_role == LEADER:
+            if self.quorum_age() > constants.ELECTION_TIMEOUT_MAX:
                 self.become(role="follower", why="quorum not heard")
         elif self.blank:
-            self.begin(self.unblank())
+            self.start_task(self.recover_blank())
         else:
-            self.begin(self.campaign())
+            self.start_task(self.campaign())
 
-    def begin(self, coroutine):
-        task = self.seam.loop.create_task(coroutine)
+    def start_task(self, coroutine):
+        task = self.runtime.loop.create_task(coroutine)
         self.tasks.append(task)
         return task
--- a/hollowhall/hall/__init__.py
+++ b/hollowhall/hall/__init__.py
@@ -1,29 +1,29 @@
-"""hall: an almanac and a desk as two services of one process, for core machines on which
-each process costs memory, a start and hops. The two share one copy of the record: the
-almanac applies entries, the desk reads and proposes. What the desk asks of its own
-almanac is a call; all else is as in two processes, and any mixture of halls, almanacs
-and desks is one fleet."""
+"""The controller (role `hall`): a store member (`almanac`) and a scheduler (`desk`) in one process, for
+machines on which a second process would cost memory, start-up time and network hops. The two share one copy
+of the record: the store member applies entries, the scheduler reads and proposes. The scheduler's requests to
+its own store member are direct calls; everything else is as in two processes, and a cluster may mix all three
+roles."""
 
 import asyncio
 
 from mode import Service
 
-from ..almanac import Almanac
+from ..almanac import StoreMember
 from ..almanac.vote import LEADER
-from ..base import consts as C
+from ..base import constants
 from ..desk import Desk
 
 
 class HallDesk(Desk):
-    """A desk whose record is its almanac's."""
+    """A scheduler that uses the record of its store member."""
 
-    def __init__(self, *, params, seam, almanac):
+    def __init__(self, *, settings, runtime, almanac):
         self.almanac = almanac
-        super().__init__(params=params, seam=seam)
-        self.here = {almanac.params.addr: almanac}
-        self.loop_time = almanac.loop_time  # one loop serves both
-        self.leads = almanac.leads
-        almanac.listeners.append(self.before)
+        super().__init__(settings=settings, runtime=runtime)
+        self.local_daemons = {almanac.settings.addr: almanac}
+        self.loop_time = almanac.loop_time  # both run in one event loop
+        self.known_leaders = almanac.known_leaders
+        almanac.entry_listeners.append(self.before)
 
     @property
     def record(self):
@@ -31,99 +31,104 @@
 
     @record.setter
     def record(self, r):
-        pass  # the almanac's holds
+        pass  # only the store member changes its record
 
     @property
     def applied(self):
         return self.almanac.applied
 
     @applied.setter
-    def applied(self, i):
+    def applied(self, index):
         pass
 
-    def before(self, op, d):
-        """An entry is about to be applied."""
+    def before(self, op, entry):
+        """Called before the store member applies an entry."""
         if op == "turn":
-            self.note_turn(d)
+            self.note_batch(entry)
 
-    def take(self, v):
+    def take(self, value):
         pass
 
     def have(self):
-        return C.NO_ENTRY  # no entries need to come along: they come to the almanac
+        return constants.INDEX_AFTER_ALL  # answers need no entries: the store member gets them
 
     async def tail(self):
         pass
 
-    async def tail_to(self, i, *, wait):
-        end = self.seam.now() + wait
-        while self.applied < i and self.seam.now() < end:
-            await asyncio.sleep(C.APPLY_LOOK)
-        return self.applied >= i
+    async def tail_to(self, index, *, wait):
+        end = self.runtime.now() + wait
+        while self.applied < index and self.runtime.now() < end:
+            await asyncio.sleep(constants.APPLY_POLL_PERIOD)
+        return self.applied >= index
 
-    async def first_go(self):
-        """The desk beside the store's leader goes first: its turns need no hop."""
-        a = self.almanac
-        if a.rank != LEADER:
-            await asyncio.sleep(C.HOLD_KEEP * (0.6 + 0.4 * self.seam.rng.random()))
+    async def defer_campaign(self):
+        """Lets the scheduler beside the store's leader go first: its batches need no network hop."""
+        almanac = self.almanac
+        if almanac.election_role != LEADER:
+            await asyncio.sleep(constants.KEEPALIVE_PERIOD * (0.6 + 0.4 * self.runtime.rng.random()))
 
-    def can_open(self):
-        a = self.almanac
-        return not a.blank and a.params.addr in a.voters and not a.out_of_touch()
+    def can_read_all(self):
+        almanac = self.almanac
+        return not almanac.blank and almanac.settings.addr in almanac.voters and not almanac.out_of_touch()
 
     def successor(self):
-        return ""  # the desk beside the store's next leader goes first by itself
+        return ""  # first_go lets the scheduler beside the store's next leader go first
 
 
 class Hall(Service):
-    """Starts and ends both; either's end is the end."""
+    """Starts and stops both; when one ends, so does the process."""
 
     abstract = False
     role = "hall"
 
-    def __init__(self, *, params, seam):
+    def __init__(self, *, settings, runtime):
         super().__init__()
-        self.params, self.seam = params, seam
-        self.store = Almanac(params=params, seam=seam)
-        two = type(params)(
+        self.settings, self.runtime = settings, runtime
+        self.store = StoreMember(settings=settings, runtime=runtime)
+        desk_params = type(settings)(
             **{
-                **params.__dict__,
-                "addr": params.desk,
-                "id": params.id + ".desk",
+                **settings.__dict__,
+                "addr": settings.desk,
+                "id": settings.id + ".desk",
                 "role": "desk",
                 "bind": "",
                 "http": "",
             }
         )
-        self.desk = HallDesk(params=two, seam=seam, almanac=self.store)
+        self.desk = HallDesk(settings=desk_params, runtime=runtime, almanac=self.store)
         self.say, self.ended = self.store.say, asyncio.Event()
 
     async def on_start(self):
-        for d in (self.store, self.desk):
-            await d.start()
-            self.add_future(self.watch(d))
+        for daemon in (self.store, self.desk):
+            await daemon.start()
+            self.add_future(self.watch(daemon))
 
-    async def watch(self, d):
-        await d.ended.wait()
+    async def watch(self, daemon):
+        await daemon.ended.wait()
         self.ended.set()
 
     async def leave(self):
-        """The desk first, so that its successor finds the clock and the store at work."""
+        """Shuts the scheduler down first, so that its successor finds the clock and the store running."""
         await self.desk.leave()
         await self.store.leave()
 
     async def on_stop(self):
-        for d in (self.desk, self.store):
-            await d.stop()
+        for daemon in (self.desk, self.store):
+            await daemon.stop()
 
     @property
     def failed(self):
         return self.store.failed or self.desk.failed
 
-    def take_params(self, p):
-        self.store.take_params(p)
-        self.desk.take_params(
-            type(p)(
-                **{**p.__dict__, "addr": self.desk.params.addr, "id": self.desk.params.id, "role": "desk"}
+    def apply_settings(self, settings):
+        self.store.apply_settings(settings)
+        self.desk.apply_settings(
+            type(settings)(
+                **{
+                    **settings.__dict__,
+                    "addr": self.desk.settings.addr,
+                    "id": self.desk.settings.id,
+                    "role": "desk",
+                }
             )
         )
--- a/hollowhall/mast/door.py
+++ b/hollowhall/mast/door.py
@@ -1,67 +1,96 @@
-"""The door of a mast: whom it lets in when too many come. How full it is, it knows by how
-late its loop comes round and by the asks in flight. While it is too full the part of sends
-that it refuses grows, else it shrinks; the least urgent of those that come lately make up
-that part, whatever their urgency is called, and the most urgent ones are let in until it
-could not even keep beats alive. Whoever is refused hears so at once, and when to come
-back. Beats, leaves, cancels and operators' asks are never refused."""
+"""Load shedding at the gateway.
 
-from ..base import consts as C
-from ..base import events as E
+The load is measured by the event loop's lag and the requests in flight. While it is above its limit
+the fraction of submissions that are refused rises, otherwise it falls. The fraction is taken from the
+least urgent of the recent submissions, relative to one another and not by absolute urgency; the most
+urgent ones are accepted until the load is so high that even heartbeats would be late. A refused
+client is told at once, with a time after which to retry. Heartbeats, departures, cancels and
+operators' requests are never refused."""
+
+from ..base import constants, log_events
 from ..base.problems import Shed
 
 
-class DoorMixin:
-    def open_door(self):
-        self.shed_f, self.took_f, self.faded = 0.0, 0.0, self.seam.now()
-        self.cut, self.cut_at, self.came = 0.0, self.seam.now(), {}
-        self.shed_n, self.shed_said = 0, -C.SHED_SAY
+class LoadSheddingMixin:
+    """Decides which job submissions and reads are refused under load."""
+
+    def open_load_shedding(self):
+        self.shed_recently, self.admitted_recently, self.decayed_at = 0.0, 0.0, self.runtime.now()
+        self.refused_fraction, self.fraction_updated_at, self.came = 0.0, self.runtime.now(), {}
+        self.shed_since_log, self.shed_logged_at = 0, -constants.LOAD_LOG_INTERVAL
 
     def full(self):
-        return max(self.slab.n / self.params.shed_at, self.lag / C.LAG_FULL)
+        """The load relative to its limit: 1.0 is full."""
+        return max(
+            self.pending_requests.n / self.settings.shed_at, self.loop_lag / constants.GATEWAY_FULL_LAG
+        )
 
-    def crowded(self, *, lane, s, read=False):
-        """Whether this ask was refused. Reads are, past what is full, whoever asks."""
-        u = self.charter["rows"].get(lane, {}).get("urgency", 0)
-        self.fade()
+    def shed_if_overloaded(self, *, lane, slot, read=False):
+        """Whether this request was refused, and answered with Shed. Reads are refused whenever the load
+        is above 1.0, whatever their urgency."""
+        urgency = self.charter["rows"].get(lane, {}).get("urgency", 0)
+        self.decay_counts()
         if not read:
-            self.came[u] = self.came.get(u, 0.0) + 1.0
+            self.came[urgency] = self.came.get(urgency, 0.0) + 1.0
         full = self.full()
-        if full > C.DOOR_SHUT or (full > 1.0 if read else self.among_cut(u)):
+        if full > constants.LOAD_SUBMISSIONS_CLOSED or (
+            full > 1.0 if read else self.in_refused_fraction(urgency)
+        ):
             self.gauges.shed(lane)
-            self.shed_n += 1
-            if self.seam.now() - self.shed_said > C.SHED_SAY:
-                self.say(E.ASK_SHED, lane=lane, since_last=self.shed_n, in_flight=self.slab.n)
-                self.shed_said, self.shed_n = self.seam.now(), 0
-            self.shed_f += 1.0
+            self.shed_since_log += 1
+            if self.runtime.now() - self.shed_logged_at > constants.LOAD_LOG_INTERVAL:
+                self.say(
+                    log_events.ASK_SHED,
+                    lane=lane,
+                    since_last=self.shed_since_log,
+                    in_flight=self.pending_requests.n,
+                )
+                self.shed_logged_at, self.shed_since_log = self.runtime.now(), 0
+            self.shed_recently += 1.0
             self.finish(
-                s=s,
-                o=Shed(
+                slot=slot,
+                result=Shed(
                     lane=lane,
                     after=min(
-                        C.AFTER_MAX,
-                        C.RETRY_AFTER
-                        + int(C.SHED_SPAN * self.shed_f / (self.took_f + 1.0) * 2 ** (-u / C.URGENT_TWICE)),
+                        constants.RETRY_AFTER_MAX,
+                        constants.RETRY_AFTER
+                        + int(
+                            constants.SHED_COUNTS_HALF_LIFE
+                            * self.shed_recently
+                            / (self.admitted_recently + 1.0)
+                            * 2 ** (-urgency / constants.URGENCY_HALVING_RETRY_AFTER)
+                        ),
                     ),
                 ),
             )
             return True
-        self.took_f += 1.0
+        self.admitted_recently += 1.0
         return False
 
-    def among_cut(self, u):
-        """Whether a send of this urgency is of the part now refused: all of those below
-        it are, before any of its own, and of its own as many as make up the part."""
-        least = sum(n for x, n in self.came.items() if x < u)
-        over = self.cut * sum(self.came.values()) - least
-        return over > 0 and self.seam.rng.random() * self.came[u] < over
+    def in_refused_fraction(self, urgency):
+        """Whether a submission of this urgency falls into the refused fraction. All less urgent ones are
+        refused before any of this urgency; of this one at random as many as fill the rest."""
+        lower = sum(count for other, count in self.came.items() if other < urgency)
+        remaining = self.refused_fraction * sum(self.came.values()) - lower
+        return remaining > 0 and self.runtime.rng.random() * self.came[urgency] < remaining
 
-    def fade(self):
-        """Counts are of the last seconds: what was shed and taken, and who came. The part
-        that is cut moves with how full it is, and with time, not with how many ask."""
-        now = self.seam.now()
-        f = 0.5 ** ((now - self.faded) / C.SHED_SPAN)
-        self.shed_f, self.took_f, self.faded = self.shed_f * f, self.took_f * f, now
-        self.came = {u: n * f for u, n in self.came.items() if n * f > 0.01}
-        dt, self.cut_at = min(1.0, now - self.cut_at), now
-        step = C.CUT_UP if self.full() > C.DOOR_FULL else -C.CUT_DOWN
-        self.cut = max(0.0, min(C.CUT_MOST, self.cut + step * dt))
+    def decay_counts(self):
+        """Decays the counts of recent submissions exponentially, and adjusts the refused fraction. That
+        fraction changes with the load and the time elapsed, not with the number of requests."""
+        now = self.runtime.now()
+        factor = 0.5 ** ((now - self.decayed_at) / constants.SHED_COUNTS_HALF_LIFE)
+        self.shed_recently, self.admitted_recently, self.decayed_at = (
+            self.shed_recently * factor,
+            self.admitted_recently * factor,
+            now,
+        )
+        self.came = {urgency: count * factor for urgency, count in self.came.items() if count * factor > 0.01}
+        elapsed, self.fraction_updated_at = min(1.0, now - self.fraction_updated_at), now
+        step = (
+            constants.REFUSED_FRACTION_RISE
+            if self.full() > constants.LOAD_FULL
+            else -constants.REFUSED_FRACTION_FALL
+        )
+        self.refused_fraction = max(
+            0.0, min(constants.REFUSED_FRACTION_MAX, self.refused_fraction + step * elapsed)
+        )
--- a/hollowhall/mast/operators.py
+++ b/hollowhall/mast/operators.py
@@ -1,40 +1,44 @@
-"""A mast's asks of operators: the charter, the store's members, the fleet, a picture of
-the record. A very large table is checked in slices beside all else."""
+"""The gateway's requests for operators: the configuration, the store's members, the fleet and a
+snapshot of the scheduler's state. A very large table is validated in slices, between other requests."""
 
 import asyncio
 
 from marshmallow import Schema, ValidationError, fields, validate, validates_schema
 
-from ..base import consts as C
+from ..base import constants
 from ..base.params import address, flat
-from ..base.problems import BadInput, Broken, Done, Raised
-from ..record.charter import rows_checked
+from ..base.problems import BadInput, Broken, Raised, Success
+from ..record.charter import check_rows_in_slices
 from ..record.copying import jobs_of
 from ..record.tenant_bodies import check_tenants
 
 
 class EditSchema(Schema):
+    """The body of a configuration change; at least one of rows and tenants is required."""
+
     base = fields.Int(strict=True, required=True, validate=validate.Range(min=0))
     rows = fields.Dict()
     tenants = fields.Dict()
 
     @validates_schema
-    def whole(self, d, **kw):
-        if "rows" not in d and "tenants" not in d:
+    def whole(self, data, **kw):
+        if "rows" not in data and "tenants" not in data:
             raise ValidationError("Missing data for required field.", "rows")
 
 
 class MembersSchema(Schema):
+    """The body of a membership change of the store."""
+
     base = fields.Int(strict=True, required=True, validate=validate.Range(min=0))
     do = fields.Str(required=True, validate=validate.OneOf(["add", "remove", "replace"]))
     addr = fields.Str(required=True, validate=address)
     by = fields.Str(load_default="", validate=validate.Length(max=64))
 
     @validates_schema
-    def whole(self, d, **kw):
-        if d.get("do") == "replace":
+    def whole(self, data, **kw):
+        if data.get("do") == "replace":
             try:
-                address(d.get("by", ""))
+                address(data.get("by", ""))
             except ValidationError as e:
                 raise ValidationError(e.messages, "by") from None
 
@@ -42,79 +46,98 @@
 MEMBERS, EDIT = MembersSchema(), EditSchema()
 
 
-def load(schema, d):
+def load(schema, data):
+    """The validated data; raises Raised(BadInput) with every error."""
     try:
-        return schema.load(d)
+        return schema.load(data)
     except ValidationError as e:
-        raise Raised(BadInput(errors=flat(e=e.messages))) from None
+        raise Raised(BadInput(errors=flat(messages=e.messages))) from None
 
 
 class OperatorsMixin:
-    def charter_get(self, call, s):
-        self.ask_store(op="charter_now", b={"public": True}, s=s, safe=True, then=lambda o: o)
-
-    def charter_edit(self, call, s):
-        d = load(EDIT, self.body(call))
-        self.run_task(co=self.edit_rows(d=d, whole=call.method == "PUT", s=s), name="edit")
-
-    async def edit_rows(self, *, d, whole, s):
-        """A large table is checked in slices, so that others' asks go between them."""
-        g, rows = rows_checked(d.get("rows", {})), None
+    """Handlers of the operators' HTTP requests."""
+
+    def charter_get(self, call, slot):
+        self.ask_store(
+            op="charter_now", request={"public": True}, slot=slot, safe=True, convert=lambda result: result
+        )
+
+    def charter_edit(self, call, slot):
+        data = load(EDIT, self.body(call))
+        self.run_task(coroutine=self.edit_rows(data=data, whole=call.method == "PUT", slot=slot), name="edit")
+
+    async def edit_rows(self, *, data, whole, slot):
+        """Validates a configuration change and sends it to the store. A large table is validated in
+        slices with pauses as long as each slice, so that other requests are handled between them.
+        whole: the rows replace the whole table, instead of single rows."""
+        check, rows = check_rows_in_slices(data.get("rows", {})), None
         while rows is None:
-            t = self.seam.now()
+            started_at = self.runtime.now()
             try:
-                self.seam.spend(s=next(g) * C.ROW_CHECK)
-            except StopIteration as e:
-                rows = e.value
-            except Raised as e:
-                self.finish(s=s, o=e.problem)
+                self.runtime.spend(s=next(check) * constants.CHECK_ROW_CPU_TIME)
+            except StopIteration as error:
+                rows = error.value
+            except Raised as error:
+                self.finish(slot=slot, result=error.failure)
                 return
-            except Exception as e:  # a broken ask must not cost the mast
-                self.oops(e)
-                self.finish(s=s, o=Broken(where="mast", why=type(e).__name__))
+            except Exception as error:  # a fault in one request must not end the gateway
+                self.log_exception(error)
+                self.finish(slot=slot, result=Broken(where="mast", why=type(error).__name__))
                 return
             else:
                 await asyncio.sleep(0)
-                await asyncio.sleep(self.seam.now() - t)
+                await asyncio.sleep(self.runtime.now() - started_at)
         try:
-            tenants = check_tenants(d["tenants"]) if "tenants" in d else None
-        except Raised as e:
-            self.finish(s=s, o=e.problem)
+            tenants = check_tenants(data["tenants"]) if "tenants" in data else None
+        except Raised as error:
+            self.finish(slot=slot, result=error.failure)
             return
-        if whole and ("rows" not in d or None in [*rows.values(), *(tenants or {}).values()]):
-            self.finish(s=s, o=BadInput(errors=[["rows", "a whole table has no null rows"]]))
+        if whole and ("rows" not in data or None in [*rows.values(), *(tenants or {}).values()]):
+            self.finish(slot=slot, result=BadInput(errors=[["rows", "a whole table has no null rows"]]))
             return
-        edit = {"base": d["base"], "rows": rows, "whole": whole}
+        edit = {"base": data["base"], "rows": rows, "whole": whole}
         if tenants is None:
-            self.ask_store(op="edit", s=s, safe=False, then=lambda o: o, b=edit)
+            self.ask_store(op="edit", slot=slot, safe=False, convert=lambda result: result, request=edit)
         else:
-            self.ask_store(op="configure", s=s, safe=False, then=lambda o: o, b=edit | {"tenants": tenants})
-
-    def members_get(self, call, s):
-        self.ask_store(op="members_now", b={}, s=s, safe=True, then=lambda o: o)
-
-    def members_change(self, call, s):
-        self.ask_store(op="members", s=s, safe=False, then=lambda o: o, b=load(MEMBERS, self.body(call)))
+            self.ask_store(
+                op="configure",
+                slot=slot,
+                safe=False,
+                convert=lambda result: result,
+                request=edit | {"tenants": tenants},
+            )
 
-    def fleet_get(self, call, s):
-        def then(o):
-            return Done(
-                v=o.v
+    def members_get(self, call, slot):
+        self.ask_store(op="members_now", request={}, slot=slot, safe=True, convert=lambda result: result)
+
+    def members_change(self, call, slot):
+        self.ask_store(
+            op="members",
+            slot=slot,
+            safe=False,
+            convert=lambda result: result,
+            request=load(MEMBERS, self.body(call)),
+        )
+
+    def fleet_get(self, call, slot):
+        def then(result):
+            return Success(
+                value=result.value
                 | {
-                    "daemons": self.view,
-                    "view": self.view_rev,
+                    "daemons": self.fleet,
+                    "view": self.fleet_revision,
                     "primary": self.primary,
                     "charter": self.charter["version"],
                 }
             )
 
-        self.deliver(op="workers", b={}, s=s, then=then)
+        self.forward(op="workers", request={}, slot=slot, convert=then)
 
-    def picture(self, call, s):
-        def then(o):
-            r = o.v["record"]
-            r["jobs"] = jobs_of(r)
-            r.pop("blobs", None)
-            return o
+    def snapshot(self, call, slot):
+        def then(result):
+            record = result.value["record"]
+            record["jobs"] = jobs_of(record)
+            record.pop("blobs", None)
+            return result
 
-        self.deliver(op="picture", b={}, s=s, then=then)
+        self.forward(op="picture", request={}, slot=slot, convert=then)
--- a/hollowhall/mast/reservations.py
+++ b/hollowhall/mast/reservations.py
@@ -1,30 +1,42 @@
-"""A mast's requests about reservations: PUT, GET, PATCH (less of it) and DELETE of one, GET
-of all. Checked here, then forwarded to the primary; docs/http.md."""
+"""The gateway's requests about reservations: PUT, GET, PATCH (to shorten or reduce it) and DELETE of
+one, and GET of all. Validated here, then forwarded to the primary; see docs/http.md."""
 
 from ..record.charter import check_name
-from ..record.reservation_bodies import check_reservation, check_shorter
+from ..record.reservation_bodies import check_reduction, check_reservation
 
 
 class ReservationsMixin:
-    def reservation_put(self, call, s, name):
+    """Handlers of the HTTP requests about reservations."""
+
+    def reservation_put(self, call, slot, name):
         check_name(name)
         spec, digest = check_reservation(self.body(call))
-        self.deliver(op="reserve", b={"name": name, "spec": spec, "digest": digest}, s=s, then=lambda o: o)
+        self.forward(
+            op="reserve",
+            request={"name": name, "spec": spec, "digest": digest},
+            slot=slot,
+            convert=lambda result: result,
+        )
 
-    def reservation_get(self, call, s, name):
-        self.deliver(op="reservation", b={"name": name}, s=s, then=lambda o: o)
+    def reservation_get(self, call, slot, name):
+        self.forward(op="reservation", request={"name": name}, slot=slot, convert=lambda result: result)
 
-    def reservation_patch(self, call, s, name):
-        d = check_shorter(self.body(call))
-        self.deliver(
+    def reservation_patch(self, call, slot, name):
+        change = check_reduction(self.body(call))
+        self.forward(
             op="shorten",
-            s=s,
-            then=lambda o: o,
-            b={"name": name, "untilMs": d.get("untilMs"), "count": d.get("count")},
+            slot=slot,
+            convert=lambda result: result,
+            request={"name": name, "untilMs": change.get("untilMs"), "count": change.get("count")},
         )
 
-    def reservation_drop(self, call, s, name):
-        self.deliver(op="release", b={"name": name}, s=s, then=lambda o: o)
+    def reservation_drop(self, call, slot, name):
+        self.forward(op="release", request={"name": name}, slot=slot, convert=lambda result: result)
 
-    def reservation_list(self, call, s):
-        self.deliver(op="reservations", b={"lane": call.query.get("lane", "")}, s=s, then=lambda o: o)
+    def reservation_list(self, call, slot):
+        self.forward(
+            op="reservations",
+            request={"lane": call.query.get("lane", "")},
+            slot=slot,
+            convert=lambda result: result,
+        )
--- a/hollowhall/mast/shell.py
+++ b/hollowhall/mast/shell.py
@@ -1,31 +1,33 @@
-"""The mast's own door: its HTTP, as docs/http.md has it. A program that puts another door
-before the mast leaves this one out by giving no address for it."""
+"""The gateway's HTTP listener for the API of docs/http.md. A program with another listener in front of
+the gateway disables this one by setting no address for it."""
 
-from ..base import consts as C
-from ..base.doors import Door
-from ..base.limits import bounds_of, patience_of
+from ..base import constants
+from ..base.doors import HttpListener
+from ..base.limits import client_limits, connection_bounds
 from ..base.problems import Crowded, TooLarge
 
-FIRST = ("/v1/workers/", "/v1/charter", "/v1/members", "/readyz", "/healthz")
+PRIORITY_PATHS = ("/v1/workers/", "/v1/charter", "/v1/members", "/readyz", "/healthz")
 
 
-class ShellMixin:
-    async def open_shell(self):
-        self.shell = None
-        if self.params.http:
-            self.shell = Door(
-                seam=self.seam,
-                addr=self.params.http,
-                take=self.take,
-                most=C.BODY_MAX,
-                bounds=bounds_of(self.params),
-                first=lambda method, path: path.startswith(FIRST),
-                patience=lambda: patience_of(settings=self.params, limits={}),
-                too_large=lambda n: self.reply(TooLarge(limit=n)),
-                full=lambda x: self.reply(Crowded(where=x, after=C.RETRY_AFTER)),
+class HttpMixin:
+    """Opens and closes the HTTP listener."""
+
+    async def open_http(self):
+        self.http_listener = None
+        if self.settings.http:
+            self.http_listener = HttpListener(
+                runtime=self.runtime,
+                addr=self.settings.http,
+                handler=self.take,
+                max_body_bytes=constants.BODY_MAX,
+                bounds=connection_bounds(self.settings),
+                first=lambda method, path: path.startswith(PRIORITY_PATHS),
+                patience=lambda: client_limits(settings=self.settings, limits={}),
+                too_large=lambda limit: self.reply(TooLarge(limit=limit)),
+                full=lambda where: self.reply(Crowded(where=where, after=constants.RETRY_AFTER)),
             )
-            await self.shell.open()
+            await self.http_listener.open()
 
-    async def shut_shell(self):
-        if self.shell is not None:
-            await self.shell.shut()
+    async def close_http(self):
+        if self.http_listener is not None:
+            await self.http_listener.close()
--- a/hollowhall/mast/tenants.py
+++ b/hollowhall/mast/tenants.py
@@ -1,5 +1,5 @@
-"""A mast's requests about tenants: a job with its caller's key, and for operators the view of who may
-run what. Keys come as `Authorization: Bearer KEY`; docs/tenants.md."""
+"""The gateway's requests that concern tenants: submission of a job with the caller's key, and the
+operators' list of tenants. Keys come as `Authorization: Bearer KEY`; see docs/tenants.md."""
 
 from functools import partial
 
@@ -9,42 +9,46 @@
 
 
 class TenantsMixin:
+    """Authentication of calls and the submission of jobs."""
+
     def caller(self, call, *, lane=""):
-        """The tenant whose call it is; raises Raised(Unauthorized)."""
+        """The tenant that makes the call; raises Raised(Unauthorized)."""
         result = self.authorize(key=bearer_key(call.headers), lane=lane)
         if not result.ok:
             self.gauges.unauthorized()
             raise Raised(result)
-        return result.v
+        return result.value
 
     def named_job(self, *, call, name):
-        """A request that names a job only, with the tenant whose call it is; of a call without a key
-        the primary says whether the job asks for one."""
+        """A request that names only a job, with the tenant that makes the call. For a call without a key
+        the primary decides whether the job needs one."""
         key = bearer_key(call.headers)
         if not self.tenants_configured():
             return {"name": name}
         return {"name": name, "tenant": self.caller(call) if key else ""}
 
-    def submit_job(self, call, s, name):
-        """A job sent in: whose it is, whether there is room for it here, what it costs."""
+    def submit_job(self, call, slot, name):
+        """Submits a job: authenticates the caller, sheds load, validates the job and charges its cost."""
         check_name(name)
         body = self.body(call)
         if "tenant" in body:
             raise Raised(BadInput(errors=[["tenant", "is told by the caller's key"]]))
         lane = body["lane"] if isinstance(body.get("lane"), str) else ""
         tenant = self.caller(call, lane=lane)
-        if self.crowded(lane=lane, s=s):  # looked at before the rest, for most of the work is to check it
+        if self.shed_if_overloaded(lane=lane, slot=slot):  # before validation, which is most of the work
             return
         self.spend_check()
         spec, digest = check_job(body | ({"tenant": tenant} if tenant else {}))
         admitted = self.admit(tenant=tenant, spec=spec)
         if not admitted.ok:
-            self.finish(s=s, o=admitted)
+            self.finish(slot=slot, result=admitted)
             return
-        told = partial(partial, self.submitted, tenant=tenant, charge=admitted.v)
-        self.slab.wrap(i=s[0], g=s[1], around=lambda k: told(k=k))
+        on_result = partial(partial, self.submitted, tenant=tenant, charge=admitted.value)
+        self.pending_requests.wrap(
+            index=slot[0], generation=slot[1], around=lambda callback: on_result(callback=callback)
+        )
         request = {"name": name, "spec": spec, "digest": digest}
-        self.deliver(op="job", b=request, s=s, then=lambda result: result)
+        self.forward(op="job", request=request, slot=slot, convert=lambda result: result)
 
-    def tenants_get(self, call, s):
-        self.deliver(op="tenants", b={}, s=s, then=lambda result: result)
+    def tenants_get(self, call, slot):
+        self.forward(op="tenants", request={}, slot=slot, convert=lambda result: result)
--- a/hollowhall/tools/experiment/fleet.py
+++ b/hollowhall/tools/experiment/fleet.py
@@ -4,7 +4,7 @@
 
 import random
 
-from ...base import consts as C
+from ...base import constants
 from ..measure.sick_fleet import Judge
 from .attempts import AttemptsMixin
 from .faults import START_S, FaultsMixin
@@ -20,8 +20,8 @@
     def __init__(self, *, rows, workload, policy):
         self.policy = policy
         super().__init__(rows=rows)
-        self.params.far_times, self.params.hold_ms = workload.spread_factor, workload.lease_ms
-        self.params.margin_ms = int(workload.lease_ms * 0.02) + 250
+        self.settings.far_times, self.settings.hold_ms = workload.spread_factor, workload.lease_ms
+        self.settings.margin_ms = int(workload.lease_ms * 0.02) + 250
 
     def take_over(self):
         """A new primary knows what the record holds, and takes every lease for fresh."""
@@ -97,7 +97,7 @@
                 job.state, job.ended_at = "lost", self.now
             else:
                 self.open.add(job.name)
-                self.primary.hold_event(ev=["job", job.name, job.spec, job.digest])
+                self.primary.queue_event(event=["job", job.name, job.spec, job.digest])
         self.waiting = []
 
     def note_ended_jobs(self):
@@ -141,8 +141,8 @@
         if self.now < self.outage_until:
             return
         self.accept_jobs()
-        if round(self.now / TICK_S) % round(C.PEEK_BACK / TICK_S) == 0:
-            primary.look_after(now=self.now, ms=primary.clock_ms())
+        if round(self.now / TICK_S) % round(constants.ENDED_JOBS_CHECK_PERIOD / TICK_S) == 0:
+            primary.check_workers(now=self.now, ms=primary.clock_ms())
         primary.turn()
         self.note_ended_jobs()
 
--- a/hollowhall/tools/measure/cpu.py
+++ b/hollowhall/tools/measure/cpu.py
@@ -1,7 +1,7 @@
 """What asks cost a processor, on real processes: a small fleet is started, asks of one
 kind after another are sent to its one mast, and the CPU time that each daemon's process
 took (from /proc) is divided by their number. The simulation's costs (CPU in sim/world.py,
-PACK_TASK and its like) are set from these figures."""
+PACK_TASK_CPU_TIME and its like) are set from these figures."""
 
 import asyncio
 import os
@@ -10,13 +10,13 @@
 import time
 from dataclasses import replace
 
-from ...base import consts as C
+from ...base import constants
 from ...base.circuit import pack, unpack
 from ...record import Record
 from ...record.charter import check_job, check_rows
 from ...standins.crowd import Operator
 from ...standins.history import History
-from ...standins.http_client import Web
+from ...standins.http_client import HttpClient
 from ...standins.shapes import CYMYLAU, step
 from ..fleet.fleet import Fleet
 
@@ -40,7 +40,7 @@
     with tempfile.TemporaryDirectory() as d:
         f = Fleet(shape=replace(CYMYLAU, masts=1), folder=d)
         f.start_all()
-        web = Web(most=16)
+        web = HttpClient(max_connections=16)
         try:
             op = Operator(
                 masts=f.masts, web=web, hist=History(), rng=random.Random(1), now=time.monotonic, tag="op"
@@ -102,7 +102,7 @@
     body = CYMYLAU.mix[0][0](r)
     frame = [0, 1, 2, "job", {"name": "x", "spec": check_job(body)[0], "digest": "d" * 32}]
     b, rec, st = pack(frame), Record(), 1 << 40
-    rec.to_level(C.LEVEL)
+    rec.to_level(constants.LEVEL)
     rec.charter = {"version": 2, "rows": CYMYLAU.lanes, "at": 0}
     for i in range(n):
         rec.ev_job(st + i, f"j{i}", *check_job(job(10)))
--- a/hollowhall/tools/measure/place.py
+++ b/hollowhall/tools/measure/place.py
@@ -4,13 +4,13 @@
 import random
 import time
 
-from ...base import consts as C
+from ...base import constants
 from ...check.judge import judge
 from ...desk.place import Round
 from ...record import Record
 from ...record.charter import check_job
 from ...sim.world import World
-from ...standins.shapes import SHAPES, crew_of, room, step
+from ...standins.shapes import SHAPES, room, step, workers_of
 
 LOOK = 0.25  # s; between two looks at the record
 
@@ -19,9 +19,9 @@
     """CPU of one placement round: (ms a grant, grants) with times the workers."""
     rec, r = Record(), random.Random(seed)
     rec.charter = {"version": 2, "rows": SHAPES[shape].lanes, "at": 0}
-    st = 1 << C.LOGICAL_BITS
+    st = 1 << constants.LOGICAL_BITS
     for k in range(times):
-        for i, kind, z, rack, rm in crew_of(SHAPES[shape]):
+        for i, kind, z, rack, rm in workers_of(SHAPES[shape]):
             st += 1
             rec.ev_worker(st, f"{i}-{k}", "b", kind, z, rack, [rm["cores"], rm["memMb"], rm["gpus"]])
     makes = [m for m, _ in SHAPES[shape].mix]
@@ -30,7 +30,7 @@
         st += 1
         rec.ev_job(st, f"j{n}", spec, dg)
     t = time.process_time()
-    rd = Round(rec=rec, now=st >> C.LOGICAL_BITS, most=C.TURN_EVENTS)
+    rd = Round(rec=rec, now=st >> constants.LOGICAL_BITS, most=constants.BATCH_EVENTS_MAX)
     n, out = 0, rd.run()
     t = (time.process_time() - t) * 1000
     while out:  # until all is full: then a round with nothing to grant
@@ -38,7 +38,7 @@
             st += 1
             n += rec.ev_grant(st, task, w)[0] == "ok"
         t2 = time.process_time()
-        out = Round(rec=rec, now=st >> C.LOGICAL_BITS, most=C.TURN_EVENTS).run()
+        out = Round(rec=rec, now=st >> constants.LOGICAL_BITS, most=constants.BATCH_EVENTS_MAX).run()
         t2 = (time.process_time() - t2) * 1000
     return {
         "ms a round": t,
@@ -56,11 +56,11 @@
     if (
         row is None
         or row["limit"]
-        and rec.lane_run.get(j.lane, 0) >= row["limit"]
-        or max(t.due, t.at >> C.LOGICAL_BITS) > now - 100
+        and rec.running_by_queue.get(j.lane, 0) >= row["limit"]
+        or max(t.due, t.at >> constants.LOGICAL_BITS) > now - 100
     ):
         return False
-    return any(not rec.unfit_worker(s=s, sp=s.spec, w=w, now=now) for w in rec.workers.values())
+    return any(not rec.unfit_worker(step=s, spec=s.spec, worker=w, now=now) for w in rec.workers.values())
 
 
 def quality(seed, shape, *, times=1, build=None, secs=16.0):
@@ -102,7 +102,7 @@
                 idle.append(1 - sum(x.used[0] for x in ws) / sum(x.room[0] for x in ws))
             else:
                 idle.append(0.0)
-            u = [rec.lane_used.get(a, [0])[0] for a in ("even-1", "even-3")]
+            u = [rec.used_by_queue.get(a, [0])[0] for a in ("even-1", "even-3")]
             if sum(u) > 30 and {"even-1", "even-3"} <= rec.lines.keys():
                 shares.append(u[1] / sum(u))
         load.cancel()
--- a/hollowhall/tools/scale/counted.py
+++ b/hollowhall/tools/scale/counted.py
@@ -13,7 +13,7 @@
 from cleo.application import Application
 
 from ...base.daemon import Daemon
-from ...base.problems import Done
+from ...base.problems import Success
 from ...base.seam import Wire
 from ...mast import Mast
 
@@ -85,9 +85,9 @@
 def duty(d):
     """What a daemon is now, and its own counters."""
     if d.role == "almanac":
-        r = d.ring
+        r = d.segments
         return {
-            "duty": d.rank,
+            "duty": d.election_role,
             "clock": d.clk is not None,
             "entries": d.applied,
             "syncs": r.syncs,
@@ -100,18 +100,18 @@
         return {
             "duty": "primary" if d.live() else "understudy",
             "entries": d.applied,
-            "turns": d.turn_n,
-            "events": d.event_n,
+            "turns": d.batch_count,
+            "events": d.event_count,
             "workers": len(rec.workers),
-            "runs": len(rec.legs),
+            "runs": len(rec.attempts),
             "jobs": len(rec.jobs),
-            "tasks": rec.tasks_n(),
+            "tasks": rec.task_count(),
         }
     return {"duty": "mast", "charter": d.charter["version"]}
 
 
-def on_counts(self, *, b, k, who):
-    k(Done(v=COUNTS | moment() | duty(self) | {"lag": self.lag}))
+def on_counts(self, *, request, callback, caller):
+    callback(Success(value=COUNTS | moment() | duty(self) | {"lag": self.loop_lag}))
 
 
 def main():
--- a/hollowhall/tools/scale/virtual.py
+++ b/hollowhall/tools/scale/virtual.py
@@ -8,8 +8,8 @@
 from contextlib import contextmanager
 from dataclasses import dataclass
 
-from ...base import consts as C
-from ...base.circuit import ASK, pack, unpack
+from ...base import constants
+from ...base.circuit import REQUEST_FRAME, pack, unpack
 from ...base.problems import Late, Raised
 from ...sim.net import SimWeb
 from ...sim.wire import SimWire
@@ -39,12 +39,12 @@
     def sent(self, wire, b):
         if not self.on:
             return
-        for n, way in ((wire.node.name, "out"), (wire.other.node.name, "in")):
+        for n, way in ((wire.node.name, "out"), (wire.far_end.node.name, "in")):
             d = self.by.setdefault(n, {"out_n": 0, "out_b": 0, "in_n": 0, "in_b": 0})
             d[way + "_n"] += 1
             d[way + "_b"] += len(b) + 4
         m = unpack(b)
-        if isinstance(m, list) and m[0] == ASK:
+        if isinstance(m, list) and m[0] == REQUEST_FRAME:
             d = self.ops.setdefault(m[3], {"n": 0, "b": 0})
             d["n"], d["b"] = d["n"] + 1, d["b"] + len(b) + 4
 
@@ -69,19 +69,19 @@
     """A daemon's own counters, and what it is now."""
     if d.role == "almanac":
         return {
-            "duty": d.rank,
+            "duty": d.election_role,
             "clock": d.clk is not None,
             "entries": d.applied,
-            "syncs": d.ring.syncs,
-            "disk_b": d.ring.bytes,
+            "syncs": d.segments.syncs,
+            "disk_b": d.segments.bytes,
             "stamp_calls": d.stamp_calls,
         }
     if d.role == "desk":
         return {
             "duty": "primary" if d.live() else "understudy",
             "entries": d.applied,
-            "turns": d.turn_n,
-            "events": d.event_n,
+            "turns": d.batch_count,
+            "events": d.event_count,
         }
     return {"duty": "mast"}
 
@@ -100,7 +100,7 @@
         self.seen, self.row = Seen(), None
 
     def now(self):
-        return self.w.loop.vt
+        return self.w.loop.virtual_time
 
     def caller(self, tag):
         return Caller(
@@ -134,8 +134,8 @@
             if (
                 d
                 and len(d.record.workers) >= x.workers
-                and len(d.record.legs) >= x.running
-                and d.record.tasks_n() >= x.running + x.kept
+                and len(d.record.attempts) >= x.running
+                and d.record.task_count() >= x.running + x.kept
             ):
                 return await asyncio.sleep(2.0)
             await asyncio.sleep(0.2)
@@ -147,7 +147,7 @@
         op = self.caller("op")
         if not await op.found(rows=S.lanes()):
             raise Raised(Late(op="start"))
-        while self.primary() is None or self.primary().record.level < C.LEVEL_USUAL:
+        while self.primary() is None or self.primary().record.level < constants.LEVEL_DEFAULT:
             await asyncio.sleep(0.2)  # what begins under an older format is packed otherwise
         tasks = list(self.crew())
         await c.stand(tasks=x.running)
--- a/tests/test_control_points.py
+++ b/tests/test_control_points.py
@@ -1,12 +1,12 @@
-"""The five kinds of trouble of the control side, each shape under one seed; 500 seeds a point are
-played by `python tests/control_points.py` (docs/status.md). The versions without a protection."""
+"""Five kinds of faults against the control plane, each scenario with one seed; 500 seeds of each are played by
+`python tests/control_points.py` (docs/status.md). Versions without a protection must fail."""
 
 import pytest
 from control_losses import planned_then_lost
 from control_points import POINTS, play
 from control_shapes import sent_again_after_many
 
-from hollowhall.almanac import Almanac
+from hollowhall.almanac import StoreMember
 from hollowhall.record import Record
 
 
@@ -20,7 +20,7 @@
     async def depart(self):
         pass
 
-    monkeypatch.setattr(Almanac, "depart", depart)
+    monkeypatch.setattr(StoreMember, "depart", depart)
     with pytest.raises(AssertionError, match="no majority is left"):
         play(planned_then_lost, 1)
 
--- a/tests/test_going.py
+++ b/tests/test_going.py
@@ -1,9 +1,9 @@
-"""A worker that is heard again just as it is given up is told nothing until that is decided:
-what it held may begin elsewhere in the same turn (a task ran twice on a day of the platform)."""
+"""A worker that is heard again while it is being given up gets no orders until that is decided: its attempts
+may start elsewhere in the same batch (a task ran twice in a simulated day)."""
 
 from types import SimpleNamespace as Bag
 
-from test_level_two import made, step
+from test_level_two import record_with_job, step
 
 from hollowhall.base.problems import NotPrimary
 from hollowhall.desk.beats import BeatsMixin
@@ -11,8 +11,10 @@
 
 
 class Desk(BeatsMixin):
-    def __init__(self, rec):
-        self.record, self.seam, self.params = rec, Bag(now=lambda: 1.0), Bag(hold_ms=3600)
+    """The handling of heartbeats over a record, as primary."""
+
+    def __init__(self, record):
+        self.record, self.runtime, self.settings = record, Bag(now=lambda: 1.0), Bag(hold_ms=3600)
         self.epoch = 1
 
     def live(self):
@@ -26,12 +28,12 @@
 
 
 def test_a_worker_that_is_being_given_up_is_told_nothing():
-    d = Desk(made(steps=[step()]))
-    d.record.do(["grant", "j/0.0/0", "w0"])
-    h = WorkerSession(boot="1", named=True)
-    assert d.beat_outcome(i="w0", h=h).v["starts"]
-    h.going = True
-    assert isinstance(d.beat_outcome(i="w0", h=h), NotPrimary)
-    assert d.orders(i="w0", h=h) == ([], [])
-    d.lost("w0", h, ["none", ""], None)
-    assert not h.going and d.beat_outcome(i="w0", h=h).ok
+    desk = Desk(record_with_job(steps=[step()]))
+    desk.record.do(["grant", "j/0.0/0", "w0"])
+    session = WorkerSession(boot="1", names_attempts=True)
+    assert desk.beat_answer(worker_id="w0", session=session).value["starts"]
+    session.lost_pending = True
+    assert isinstance(desk.beat_answer(worker_id="w0", session=session), NotPrimary)
+    assert desk.orders(worker_id="w0", session=session) == ([], [])
+    desk.lost("w0", session, ["none", ""], None)
+    assert not session.lost_pending and desk.beat_answer(worker_id="w0", session=session).ok
--- a/tests/test_platform_herds.py
+++ b/tests/test_platform_herds.py
@@ -22,14 +22,14 @@
 from platform_standins import jobs
 from platform_world import PlatformWorld
 
-from hollowhall.almanac import Almanac
-from hollowhall.base import consts as C
-from hollowhall.base.daemon import StoreMixin
-from hollowhall.base.problems import Done
+from hollowhall.almanac import StoreMember
+from hollowhall.base import constants
+from hollowhall.base.daemon import StoreClientMixin
+from hollowhall.base.problems import Success
 from hollowhall.desk import Desk
 from hollowhall.mast import Reply
 
-CAMPAIGN = Almanac.campaign
+CAMPAIGN = StoreMember.campaign
 SOON = 3.0  # s; until a core that was killed whole, or its leader, serves again
 
 
@@ -58,7 +58,7 @@
 
 
 def slow_to_elect(m):
-    m.setattr(C, "ELECT_START", 9.0)
+    m.setattr(constants, "ELECTION_TIMEOUT_AT_START", 9.0)
 
 
 def short_reigns(m):
@@ -66,7 +66,7 @@
         await asyncio.sleep(0.9)
         self.until = 0.0
 
-    m.setattr(Desk, "keep", keep)
+    m.setattr(Desk, "renew_lease", keep)
 
 
 @pytest.mark.parametrize("weak", [slow_to_elect, short_reigns])
@@ -79,7 +79,7 @@
 def taken_after(w):
     """Part of the submissions that were taken at once, of those sent from a moment after the
     herd was back; before, nobody is there, and how many come then is luck of the seed."""
-    at = w.true_ms() - (w.loop.vt - w.back_at - 0.8) * 1000
+    at = w.true_ms() - (w.loop.virtual_time - w.back_at - 0.8) * 1000
     rs = [r for r in w.s.rows("submit_out") if r["sent"] >= at]
     return sum(r["status"] == 200 for r in rs) / len(rs)
 
@@ -92,13 +92,13 @@
 def test_edges_that_are_long_cold_are_seen(monkeypatch):
     take = front.Front.take
 
-    def cold(self, *, call, k):
-        now = self.mast.seam.now()
+    def cold(self, *, call, callback):
+        now = self.mast.runtime.now()
         self.born = getattr(self, "born", now)
         if now - self.born < 8.0 and call.method == "POST":
-            k(Reply(status=503, body={}))
+            callback(Reply(status=503, body={}))
             return lambda: None
-        return take(self, call=call, k=k)
+        return take(self, call=call, callback=callback)
 
     monkeypatch.setattr(front.Front, "take", cold)
     w, _, _ = play(most_edges)
@@ -111,13 +111,13 @@
 
 
 def test_successors_that_wait_for_long_leases_of_the_dead_are_seen(monkeypatch):
-    store = StoreMixin.store
+    store = StoreClientMixin.store
 
-    async def keeps(self, *, op, b, **kw):
-        return Done(v={}) if op == "revoke" else await store(self, op=op, b=b, **kw)
+    async def keeps(self, *, op, request, **kw):
+        return Success(value={}) if op == "revoke" else await store(self, op=op, request=request, **kw)
 
-    monkeypatch.setattr(StoreMixin, "store", keeps)
-    monkeypatch.setattr(C, "HOLD_TTL", 9.0)
+    monkeypatch.setattr(StoreClientMixin, "store", keeps)
+    monkeypatch.setattr(constants, "LEASE_TTL", 9.0)
     w, _, _ = play(leader_again, seconds=16.0)
     assert w.kills < 4 or served_after(w) > SOON
 
@@ -135,14 +135,14 @@
 def test_daemons_that_know_only_what_they_took_are_seen(monkeypatch):
     take = front.Front.take
 
-    def own(self, *, call, k):
+    def own(self, *, call, callback):
         mine = self.__dict__.setdefault("mine", set())
         if call.method == "POST":
             mine.add(call.path)
         if call.method == "GET" and not call.path.endswith("/") and call.path not in mine:
-            k(Reply(status=410, body={}))
+            callback(Reply(status=410, body={}))
             return lambda: None
-        return take(self, call=call, k=k)
+        return take(self, call=call, callback=callback)
 
     monkeypatch.setattr(front.Front, "take", own)
     assert "LOST" in play(shift)[1]
@@ -190,9 +190,9 @@
     """A store in which nobody stands for election again once a leader was lost."""
 
     async def campaign(self, **kw):
-        return await CAMPAIGN(self, **kw) if self.seam.now() - self.born < 3.0 else None
+        return await CAMPAIGN(self, **kw) if self.runtime.now() - self.born < 3.0 else None
 
-    monkeypatch.setattr(Almanac, "campaign", campaign)
+    monkeypatch.setattr(StoreMember, "campaign", campaign)
     w, _, _ = play(slow_machine("primary", times=100.0), cpu=True, seed=2, seconds=16.0)
     assert not again_as_before(w)
 
@@ -200,7 +200,7 @@
 def test_a_store_that_waits_for_all_its_members_is_seen(monkeypatch):
     """Under most seeds; few submissions meet it on some days, and losses may hide it."""
     usual_by_seed = {seed: usual(seed) for seed in (2, 6, 9)}
-    monkeypatch.setattr(Almanac, "most", lambda self: len(self.voters))
+    monkeypatch.setattr(StoreMember, "most", lambda self: len(self.voters))
 
     def seen(seed):
         w, _, _ = play(slow_machine("follower"), cpu=True, seed=seed)
--- a/tests/test_platform_translation.py
+++ b/tests/test_platform_translation.py
@@ -1,6 +1,6 @@
-"""The adapter's translation, without any fleet: settings to params, bodies to requests,
-outcomes to statuses, and what becomes of bad input. Also that nothing outside the folder
-knows the platform's names, and that the folder hides no module of the language."""
+"""The adapter's translation, without any fleet: settings, bodies to requests, results to statuses, and the
+answers to bad input. Also that nothing outside the folder uses the platform's names, and that the folder
+`platform` hides no module of the standard library."""
 
 import json
 import os
@@ -55,23 +55,35 @@
 }
 
 
-def write(tmp_path, d):
-    lines = [f"{a} = {json.dumps(b)}" for a, b in d.items() if not isinstance(b, dict)]
-    for a, b in d.items():
-        if isinstance(b, dict):
-            lines += [f"[{a}]"] + [f"{x} = {json.dumps(y)}" for x, y in b.items()]
-    p = tmp_path / "boot.toml"
-    p.write_text("\n".join(lines))
-    return str(p)
+def write(tmp_path, settings):
+    """Writes a settings file; returns its path."""
+    lines = [
+        f"{name} = {json.dumps(value)}" for name, value in settings.items() if not isinstance(value, dict)
+    ]
+    for name, value in settings.items():
+        if isinstance(value, dict):
+            lines += [f"[{name}]"] + [f"{x} = {json.dumps(y)}" for x, y in value.items()]
+    path = tmp_path / "boot.toml"
+    path.write_text("\n".join(lines))
+    return str(path)
 
 
 def test_settings_become_params(tmp_path):
-    p = boot.params_of(boot.read_settings(path=write(tmp_path, SETTINGS)), role="hall")
-    assert (p.addr, p.seeds, p.found) == ("10.0.0.1:7380", ["10.0.0.1:7380", "10.0.0.2:7380"], True)
-    assert p.hold_ms == 3000 and p.margin_ms >= 60 and p.far_times == 3 and p.auto_members
+    settings = boot.params_of(boot.read_settings(path=write(tmp_path, SETTINGS)), role="hall")
+    assert (settings.addr, settings.seeds, settings.found) == (
+        "10.0.0.1:7380",
+        ["10.0.0.1:7380", "10.0.0.2:7380"],
+        True,
+    )
+    assert (
+        settings.hold_ms == 3000
+        and settings.margin_ms >= 60
+        and settings.far_times == 3
+        and settings.auto_members
+    )
     later = SETTINGS | {"bootstrap": False, "ip": "10.0.0.9"}
-    p = boot.params_of(boot.read_settings(path=write(tmp_path, later)), role="hall")
-    assert not p.found and not p.join
+    settings = boot.params_of(boot.read_settings(path=write(tmp_path, later)), role="hall")
+    assert not settings.found and not settings.join
 
 
 @pytest.mark.parametrize(
@@ -86,35 +98,35 @@
     ],
 )
 def test_bad_settings_name_their_field(tmp_path, change, where):
-    d = {a: b for a, b in (SETTINGS | change).items() if b is not None}
-    with pytest.raises(P.Raised) as e:
-        boot.read_settings(path=write(tmp_path, d))
-    assert isinstance(e.value.problem, P.BadParams)
-    assert any(a.startswith(where) for a, _ in e.value.problem.errors)
+    settings = {field: value for field, value in (SETTINGS | change).items() if value is not None}
+    with pytest.raises(P.Raised) as raised:
+        boot.read_settings(path=write(tmp_path, settings))
+    assert isinstance(raised.value.failure, P.BadParams)
+    assert any(field.startswith(where) for field, _ in raised.value.failure.errors)
 
 
 @pytest.mark.parametrize("role", ["hall", "mast"])
 @pytest.mark.parametrize("text, code", [("not toml at all [", 2), ("", 2)])
 def test_a_program_started_from_the_root_refuses_bad_settings(tmp_path, role, text, code):
-    f = tmp_path / "boot.toml"
-    f.write_text(text)
-    x = subprocess.run(
+    settings_file = tmp_path / "boot.toml"
+    settings_file.write_text(text)
+    program = subprocess.run(
         [sys.executable, "platform/serve.py", role],
         cwd=ROOT,
         text=True,
         capture_output=True,
-        env=os.environ | {boot.ENV: str(f)},
+        env=os.environ | {boot.SETTINGS_ENV: str(settings_file)},
         timeout=60,
     )
-    assert x.returncode == code and "BadParams" in x.stderr
+    assert program.returncode == code and "BadParams" in program.stderr
 
 
 @pytest.mark.parametrize("path", [["."], ["platform"], ["platform", "."]])
 def test_the_folder_hides_no_module_of_the_language(path):
     assert not (ROOT / "platform/__init__.py").exists()
     code = f"import sys; sys.path[:0] = {path!r}; import aiohttp, platform; print(platform.python_version())"
-    x = subprocess.run([sys.executable, "-c", code], cwd=ROOT, text=True, capture_output=True)
-    assert x.stdout.strip() == sys.version.split()[0], x.stderr
+    program = subprocess.run([sys.executable, "-c", code], cwd=ROOT, text=True, capture_output=True)
+    assert program.stdout.strip() == sys.version.split()[0], program.stderr
 
 
 NAMES = (
@@ -144,7 +156,10 @@
 
 
 def known_names(texts):
-    return sorted((f, n) for f, t in texts.items() for n in NAMES if re.search(rf"\b{n}\b", t))
+    """(file, name) of each of the platform's names in the texts."""
+    return sorted(
+        (path, name) for path, text in texts.items() for name in NAMES if re.search(rf"\b{name}\b", text)
+    )
 
 
 def test_nothing_outside_the_folder_knows_the_platforms_names():
@@ -153,25 +168,26 @@
 
 
 class Mast(KeysMixin):
-    """Answers every request with one outcome, and keeps what it was asked."""
+    """A gateway that answers every request with one result and records the requests."""
 
-    def __init__(self, o):
+    def __init__(self, result):
         self.charter = {"version": 2, "chosen": 3, **vars(tables.read_config(CONFIG))}
-        self.o, self.sent = o, []
+        self.result, self.sent = result, []
 
-    def submit(self, *, request, tenant, k, wait):
-        return self.request(op="job", b=request, k=k, wait=wait)
+    def submit(self, *, request, tenant, callback, wait):
+        return self.request(op="job", request=request, callback=callback, wait=wait)
 
-    def request(self, *, op, b, k, wait):
-        self.sent.append((op, b, wait))
-        k(self.o)
+    def request(self, *, op, request, callback, wait):
+        self.sent.append((op, request, wait))
+        callback(self.result)
         return lambda: None
 
 
 def call(mast, method, path, body=None, **headers):
-    out = []
+    """The adapter's reply to a client's request."""
+    replies = []
     front.Front(mast=mast).take(
-        k=out.append,
+        callback=replies.append,
         call=Call(
             method=method,
             path=path,
@@ -179,7 +195,7 @@
             body=body if isinstance(body, bytes) else json.dumps(body).encode(),
         ),
     )
-    return out[0]
+    return replies[0]
 
 
 JOB = {"jobProfile": "p", "stages": [{"taskCount": 1}]}
@@ -187,9 +203,9 @@
 
 
 @pytest.mark.parametrize(
-    "o, status",
+    "result, status",
     [
-        (P.Done(v={}), 200),
+        (P.Success(value={}), 200),
         (P.NotPrimary(), 503),
         (P.Full(where="desk", after=3), 429),
         (P.Unsure(why="x"), 504),
@@ -197,13 +213,13 @@
         (P.NotSynced(), 503),
     ],
 )
-def test_only_what_surely_was_not_taken_is_refused(o, status):
-    r = call(Mast(o), "POST", ID, JOB)
-    assert r.status == status and (status == 200 or "Retry-After" in r.headers)
+def test_only_what_surely_was_not_taken_is_refused(result, status):
+    reply = call(Mast(result), "POST", ID, JOB)
+    assert reply.status == status and (status == 200 or "Retry-After" in reply.headers)
 
 
 @pytest.mark.parametrize(
-    "v, state",
+    "answer, state",
     [
         ({"state": "open", "began": False}, "queued"),
         ({"state": "open", "began": True}, "active"),
@@ -211,24 +227,24 @@
         ({"state": "cancelled", "began": False}, "cancelled"),
     ],
 )
-def test_states(v, state):
-    assert call(Mast(P.Done(v=v)), "GET", ID).body == {"state": state}
+def test_states(answer, state):
+    assert call(Mast(P.Success(value=answer)), "GET", ID).body == {"state": state}
 
 
 def test_what_is_not_there():
     assert call(Mast(P.Unknown(what="job", id="x")), "GET", ID).status == 410
     assert call(Mast(P.Unknown(what="job", id="x")), "DELETE", ID).status == 410
-    assert call(Mast(P.NotPrimary()), "GET", ID).status == 503  # never a 410 for want of one
-    assert call(Mast(P.Done(v={"waiting": 4})), "GET", "/q/").body == {"pending": 4}
-    assert call(Mast(P.Done(v={})), "GET", "/other/").status == 404
-    m = Mast(P.Done(v={}))
-    m.charter = {"version": 1, "rows": {}}
-    r = call(m, "POST", ID, JOB)
-    assert r.status == 503 and r.headers["Retry-After"] and not m.sent
+    assert call(Mast(P.NotPrimary()), "GET", ID).status == 503  # a missing primary is never answered with 410
+    assert call(Mast(P.Success(value={"waiting": 4})), "GET", "/q/").body == {"pending": 4}
+    assert call(Mast(P.Success(value={})), "GET", "/other/").status == 404
+    mast = Mast(P.Success(value={}))
+    mast.charter = {"version": 1, "rows": {}}
+    reply = call(mast, "POST", ID, JOB)
+    assert reply.status == 503 and reply.headers["Retry-After"] and not mast.sent
 
 
 def test_the_clients_patience_is_kept():
-    m = Mast(P.Done(v={"state": "done", "began": True}))
-    call(m, "GET", ID, **{"time-remaining": "2000"})
-    call(m, "GET", ID, **{"time-remaining": "nonsense"})
-    assert m.sent[0][2] == pytest.approx(1.6) and m.sent[1][2] == front.WAIT_S
+    mast = Mast(P.Success(value={"state": "done", "began": True}))
+    call(mast, "GET", ID, **{"time-remaining": "2000"})
+    call(mast, "GET", ID, **{"time-remaining": "nonsense"})
+    assert mast.sent[0][2] == pytest.approx(1.6) and mast.sent[1][2] == front.DEFAULT_WAIT_S
--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -19,9 +19,9 @@
 
 # Called by position, as all continuations are, or with an entry's fields in their order;
 # what a mast's table of paths, the asyncio streams or a library calls.
-BY_PLACE = {"k", "k2", "then", "back", "on", "give", "ev", "__init__"}
+BY_PLACE = {"k", "k2", "then", "back", "on", "give", "define_event", "__init__"}
 PLACED = re.compile(r"^ev_")
-ROUTES = ("call", "s")
+ROUTES = ("call", "slot")
 # Two of a name whose callers cannot be told apart by it, in different programs; short.
 TWICE_NAMED = {
     "change",
@@ -85,9 +85,14 @@
 EXCUSED_WORDS |= {"ask"}  # a link's method, until base/circuit.py has its turn
 # Polls until daemons on real sockets are ready; daemons that run in virtual time.
 SIMULATED = ("World", "Halls(", "world(", "play")  # words of files that run in virtual time
-PLACES = ("consts.py", "formats.py", "scheduling.py")  # constants; those of format levels never change
+PLACES = ("constants.py", "formats.py", "scheduling.py")  # constants; those of format levels never change
 REAL_TIME = {"test_http.py", "weak_parts.py", "weak.py"}
-REAL_TIME |= {"soak.py", "soak_changes.py", "soak_processes.py"}  # processes on the real clock
+REAL_TIME |= {
+    "soak.py",
+    "soak_changes.py",
+    "soak_processes.py",
+    "older_data.py",
+}  # processes on the real clock
 RAISES = {"Raised", "ValidationError", "TimeoutError"}  # marshmallow wants its own
 
 
--- a/tests/weak.py
+++ b/tests/weak.py
@@ -1,194 +1,212 @@
-"""Weaker versions of the daemons. Each lacks one protection; under the faults it is
-meant for, the checker must find the very thing that must never happen. The same
-seeds through the real daemons must be clean: the pair is the test."""
+"""Weaker versions of the daemons, each without one protection. Under the faults that the protection is for,
+the checker must find its rule broken, and with the same seeds the real daemons must break no rule."""
 
 import asyncio
 
-from hollowhall.almanac import Almanac
-from hollowhall.base.problems import BadInput, Done
+from hollowhall.almanac import StoreMember
+from hollowhall.base.problems import BadInput, Success
 from hollowhall.desk import Desk
 from hollowhall.mast import Mast
 from hollowhall.record import Record
 from hollowhall.record.kinds import READY, UP, WAITING
 
-REAL = {"almanac": Almanac, "desk": Desk, "mast": Mast}
+REAL = {"almanac": StoreMember, "desk": Desk, "mast": Mast}
 
 
-def with_record(rec, desk=Desk, mast=Mast, alm=Almanac):
+def with_record(record_class, desk=Desk, mast=Mast, almanac=StoreMember):
+    """Classes of the daemons whose record is a `record_class`."""
     return {
-        "almanac": type("A", (alm,), {"make_record": rec, "abstract": False}),
-        "desk": type("D", (desk,), {"make_record": rec, "abstract": False}),
+        "almanac": type("A", (almanac,), {"make_record": record_class, "abstract": False}),
+        "desk": type("D", (desk,), {"make_record": record_class, "abstract": False}),
         "mast": mast,
     }
 
 
-class NoNames(Record):
-    """Takes every send for a new job."""
+class IgnoresJobNames(Record):
+    """Takes every submission for a new job."""
 
-    def ev_job(self, st, name, spec, digest):
+    def ev_job(self, stamp, name, spec, digest):
         old = self.jobs.pop(name, None)
         if old is not None:
-            for t in old.tasks.values():
-                self.unready(t)
-            for run in [r for r, g in self.legs.items() if g.job == name]:
-                g = self.legs[run]
+            for task in old.tasks.values():
+                self.unready(task)
+            for run in [number for number, attempt in self.attempts.items() if attempt.job == name]:
+                attempt = self.attempts[run]
                 self.jobs[name] = old
-                self.take_room(g=g, sign=-1)
-                del self.legs[run]
+                self.count_attempt(attempt=attempt, sign=-1)
+                del self.attempts[run]
             self.jobs.pop(name, None)
-        return super().ev_job(st, name, spec, digest)
+        return super().ev_job(stamp, name, spec, digest)
 
 
-class ForgetfulDesk(Desk):
-    """Sends every resend into the record, known or not."""
+class ResendsEveryJob(Desk):
+    """Passes every resent submission to the record, also of jobs that it has."""
 
-    def on_job(self, *, b, k, who):
+    def on_job(self, *, request, callback, caller):
         old, self.record.jobs = self.record.jobs, {}
         try:
-            super().on_job(b=b, k=k, who=who)
+            super().on_job(request=request, callback=callback, caller=caller)
         finally:
             self.record.jobs = old
 
 
-class HastyDesk(Desk):
-    """Takes a worker's legs for stopped as soon as it is not heard."""
+class EarlyExpiryDesk(Desk):
+    """Takes a worker's attempts for stopped as soon as the worker is silent."""
 
-    def on_beat(self, *, b, k, who):
-        super().on_beat(b=b, k=k, who=who)
-        if b["id"] in self.sessions:
-            self.sessions[b["id"]].until = self.seam.now() + 1.0
+    def on_beat(self, *, request, callback, caller):
+        super().on_beat(request=request, callback=callback, caller=caller)
+        if request["id"] in self.sessions:
+            self.sessions[request["id"]].until = self.runtime.now() + 1.0
 
 
-class AllAtOnce(Record):
-    def open_steps(self, *, j, st):
-        for t in j.tasks.values():
-            if t.state == WAITING:
-                self.task_to(t=t, state=READY, st=st)
+class IgnoresDependencies(Record):
+    """Makes all steps of a job ready at once."""
+
+    def open_steps(self, *, job, stamp):
+        for task in job.tasks.values():
+            if task.state == WAITING:
+                self.task_to(task=task, state=READY, stamp=stamp)
 
 
 class Early(Record):
-    def unfit(self, t, w, *, now):
-        return super().unfit(t, w, now=max(now, t.due))
+    """Ignores notBefore and the delay of retries."""
+
+    def unfit(self, task, worker, *, now):
+        return super().unfit(task, worker, now=max(now, task.due))
 
-    def ev_job(self, st, name, spec, digest):
-        return super().ev_job(st, name, spec | {"notBefore": 0}, digest)
+    def ev_job(self, stamp, name, spec, digest):
+        return super().ev_job(stamp, name, spec | {"notBefore": 0}, digest)
 
 
 class NoRoom(Record):
-    def unfit_worker(self, *, s, sp, w, now, lane=""):
-        why = super().unfit_worker(s=s, sp=sp, w=w, now=now, lane=lane)
+    """Places tasks on workers without enough free resources."""
+
+    def unfit_worker(self, *, step, spec, worker, now, lane=""):
+        why = super().unfit_worker(step=step, spec=spec, worker=worker, now=now, lane=lane)
         return "" if why == "room" else why
 
 
 class NoSpread(Record):
-    def unfit_worker(self, *, s, sp, w, now, lane=""):
-        why = super().unfit_worker(s=s, sp=sp, w=w, now=now, lane=lane)
+    """Ignores the limits on a step's tasks per worker and per rack."""
+
+    def unfit_worker(self, *, step, spec, worker, now, lane=""):
+        why = super().unfit_worker(step=step, spec=spec, worker=worker, now=now, lane=lane)
         return "" if why == "spread" else why
 
 
 class AnyRack(Record):
-    def ev_job(self, st, name, spec, digest):
-        spec = spec | {"steps": [s | {"rack": "", "zone": ""} for s in spec["steps"]]}
-        return super().ev_job(st, name, spec, digest)
+    """Ignores the rack and zone that a step requires."""
+
+    def ev_job(self, stamp, name, spec, digest):
+        spec = spec | {"steps": [step | {"rack": "", "zone": ""} for step in spec["steps"]]}
+        return super().ev_job(stamp, name, spec, digest)
 
 
-class Stubborn(Record):
-    def task_bad(self, *, j, t, worker, st, why):
-        s = j.steps[t.step].spec
-        keep, s["maxFailures"] = s["maxFailures"], 1000
-        super().task_bad(j=j, t=t, worker=worker, st=st, why=why)
-        s["maxFailures"] = keep
+class IgnoresMaxFailures(Record):
+    """Retries a task beyond maxFailures."""
 
+    def task_failed(self, *, job, task, worker, stamp, why):
+        step = job.steps[task.step].spec
+        max_failures, step["maxFailures"] = step["maxFailures"], 1000
+        super().task_failed(job=job, task=task, worker=worker, stamp=stamp, why=why)
+        step["maxFailures"] = max_failures
 
-class SaysNoDoesIt(Desk):
-    """Refuses now and then, and does it all the same."""
 
-    n = 0
+class RefusesButAccepts(Desk):
+    """Refuses every fifth submission, but accepts it into the record."""
 
-    def on_job(self, *, b, k, who):
-        self.n += 1
-        if self.n % 5 == 0 and self.live():
-            super().on_job(b=b, k=lambda o: None, who=who)
-            k(BadInput(errors=[["lane", "no"]]))
+    submissions = 0
+
+    def on_job(self, *, request, callback, caller):
+        self.submissions += 1
+        if self.submissions % 5 == 0 and self.live():
+            super().on_job(request=request, callback=lambda outcome: None, caller=caller)
+            callback(BadInput(errors=[["lane", "no"]]))
             return
-        super().on_job(b=b, k=k, who=who)
+        super().on_job(request=request, callback=callback, caller=caller)
+
 
+class IgnoresCancels(Record):
+    """Confirms cancellations without cancelling."""
 
-class DeafToCancel(Record):
-    def ev_cancel(self, st, name):
+    def ev_cancel(self, stamp, name):
         return ["ok", "open"] if name in self.jobs else ["none", ""]
 
 
-class NoLeaving(Record):
-    def ev_leave(self, st, id, boot):
-        w = self.workers.get(id)
-        return ["ok", UP] if w is not None else ["none", ""]
+class IgnoresLeaving(Record):
+    """Ignores that a worker is about to leave."""
 
+    def ev_leave(self, stamp, id, boot):
+        worker = self.workers.get(id)
+        return ["ok", UP] if worker is not None else ["none", ""]
 
-class Alone(Almanac):
-    """Confirms as soon as its own disk has it, and follows whoever asks."""
+
+class CommitsAlone(StoreMember):
+    """Commits an entry as soon as it is on the leader's own disk."""
 
     def advance(self):
-        if self.rank == "leader" and self.synced > self.commit:
+        if self.election_role == "leader" and self.synced > self.commit:
             self.commit = self.synced
             self.apply()
         super().advance()
 
 
-class Unsynced(Almanac):
-    """Tells before its disk has it, and counts itself as if it had."""
+class AnswersUnsynced(StoreMember):
+    """Answers before the sync, and counts itself as synced."""
 
-    def after_sync(self, k):
-        k()
-        self.disk_ev.set()
+    def after_sync(self, callback):
+        callback()
+        self.disk_event.set()
 
     def advance(self):
         self.synced = self.last()
         super().advance()
 
 
-class FirstIsAll(Record):
-    """Shows a job done with its first step."""
+class JobDoneWithFirstTask(Record):
+    """Shows a job as done when its first task is done."""
 
-    def task_done(self, *, j, t, st):
-        super().task_done(j=j, t=t, st=st)
-        if j.state == "open":
-            self.job_to(j=j, state="done", st=st)
+    def task_done(self, *, job, task, stamp):
+        super().task_done(job=job, task=task, stamp=stamp)
+        if job.state == "open":
+            self.job_to(job=job, state="done", stamp=stamp)
 
 
-class Fickle(Record):
-    """Shows a job failed at its first failure."""
+class JobFailedAtFirstFailure(Record):
+    """Shows a job as failed at its first failure."""
 
-    def task_bad(self, *, j, t, worker, st, why):
-        super().task_bad(j=j, t=t, worker=worker, st=st, why=why)
-        if j.state == "open":
-            self.wind_up(j=j, goal="failed", st=st, why="gave up")
+    def task_failed(self, *, job, task, worker, stamp, why):
+        super().task_failed(job=job, task=task, worker=worker, stamp=stamp, why=why)
+        if job.state == "open":
+            self.begin_ending(job=job, goal="failed", stamp=stamp, why="gave up")
 
 
-class OldCharter(Mast):
-    """Reads the charter from what it holds."""
+class StaleConfigurationGateway(Mast):
+    """Answers reads of the configuration from a copy that may be old."""
 
-    def charter_get(self, call, s):
-        self.finish(s=s, o=Done(v=self.charter))
+    def charter_get(self, call, slot):
+        self.finish(slot=slot, result=Success(value=self.charter))
 
     async def follow_charter(self):
         while True:
-            o = await self.near(op="charter", b={"version": self.charter["version"]}, wait=6.0)
-            await asyncio.sleep(3.0 * self.seam.rng.random())
-            if o.ok and o.v is not None:
-                self.charter = o.v
+            outcome = await self.near(op="charter", request={"version": self.charter["version"]}, wait=6.0)
+            await asyncio.sleep(3.0 * self.runtime.rng.random())
+            if outcome.ok and outcome.value is not None:
+                self.charter = outcome.value
 
 
 class NoBase(Record):
-    """Takes an edit whatever version it builds on."""
+    """Confirms an edit that is based on an old version."""
 
-    def edit(self, d):
-        if d["base"] != self.charter["version"]:
-            return Done(v={"version": d["base"] + 1})
-        return super().edit(d)
+    def edit(self, fields):
+        if fields["base"] != self.charter["version"]:
+            return Success(value={"version": fields["base"] + 1})
+        return super().edit(fields)
 
 
 class NoLimit(Record):
-    def edit(self, d):
-        rows = {a: r and r | {"limit": 0} for a, r in d["rows"].items()}
-        return super().edit(d | {"rows": rows})
+    """Drops the limits of queues from edits."""
+
+    def edit(self, fields):
+        rows = {lane: row and row | {"limit": 0} for lane, row in fields["rows"].items()}
+        return super().edit(fields | {"rows": rows})
--- a/tests/weak_parts.py
+++ b/tests/weak_parts.py
@@ -1,228 +1,246 @@
-"""Daemons that lack one protection each; tests/parts.py says which and why."""
+"""Daemons that lack one protection each; tests/parts.py lists the protections."""
 
 import asyncio
 
-from hollowhall.almanac import Almanac
-from hollowhall.base import consts as C
-from hollowhall.base.problems import Done, Leaving, NotLeader
+from hollowhall.almanac import StoreMember
+from hollowhall.base import constants
+from hollowhall.base.problems import Leaving, NotLeader, Success
 from hollowhall.desk import Desk
 from hollowhall.record import Record
 
 
-class NoEpochs(Record):
-    """Any primary's turn counts, deposed or not."""
+class NoEpochFence(Record):
+    """Accepts a batch of any primary, also of a previous one."""
 
-    def turn(self, d):
-        return super().turn(d | {"e": max(d["e"], self.epoch), "c": max(d["c"], self.clock_epoch)})
+    def apply_batch(self, fields):
+        return super().apply_batch(
+            fields | {"e": max(fields["e"], self.epoch), "c": max(fields["c"], self.clock_epoch)}
+        )
 
 
 class NoStampFence(Record):
-    """A turn counts however old its stamp."""
+    """Accepts a batch however old its timestamp."""
 
-    def turn(self, d):
-        keep, self.last = self.last, 0
-        o = super().turn(d)
-        self.last = max(keep, self.last)
-        return o
+    def apply_batch(self, fields):
+        last, self.last = self.last, 0
+        outcome = super().apply_batch(fields)
+        self.last = max(last, self.last)
+        return outcome
 
 
-class NoFence(NoEpochs, NoStampFence):
-    pass
+class NoFences(NoEpochFence, NoStampFence):
+    """Checks neither a batch's epochs nor its timestamp."""
 
 
-class DeskNoLook(Desk):
-    """Primary until it hears that it is not, whatever its hold says."""
+class NoLeaseCheckDesk(Desk):
+    """Stays primary until it is told otherwise, also when its lease has expired."""
 
     def live(self):
         return self.part == "primary"
 
 
-class NoPrevote(Almanac):
+class NoPrevote(StoreMember):
+    """Campaigns without a pre-vote."""
+
     async def campaign(self, *, forced=False):
         await super().campaign(forced=True)
 
 
-class BlankVotes(Almanac):
-    """A blank disk counts from its first moment."""
+class BlankVotes(StoreMember):
+    """Counts and votes with an empty disk from its start."""
 
     def restore(self):
         super().restore()
-        self.blank, self.rank = False, "follower"
+        self.blank, self.election_role = False, "follower"
 
 
-class NoValid(Desk):
-    """Starts are good for as long as they take to arrive."""
+class NoStartExpiry(Desk):
+    """Start orders do not expire on the way to a worker."""
 
-    def beat_outcome(self, *, i, h):
-        o = super().beat_outcome(i=i, h=h)
-        return Done(v=o.v | {"validMs": 60_000}) if o.ok else o
+    def beat_answer(self, *, worker_id, session):
+        outcome = super().beat_answer(worker_id=worker_id, session=session)
+        return Success(value=outcome.value | {"validMs": 60_000}) if outcome.ok else outcome
 
 
 class NoMargin(Desk):
-    """Takes a worker for stopped the moment its hold is over here."""
+    """Takes a worker for stopped as soon as its lease has expired by the scheduler's clock."""
 
-    def on_beat(self, *, b, k, who):
-        super().on_beat(b=b, k=k, who=who)
-        if b["id"] in self.sessions:
-            self.sessions[b["id"]].until -= C.WORKER_MARGIN
+    def on_beat(self, *, request, callback, caller):
+        super().on_beat(request=request, callback=callback, caller=caller)
+        if request["id"] in self.sessions:
+            self.sessions[request["id"]].until -= constants.WORKER_LEASE_MARGIN
 
 
-class StaleHolds(Desk):
-    """Takes over and holds every worker for silent since long."""
+class StaleLeases(Desk):
+    """After a takeover, treats every worker as long silent."""
 
     def start_beats(self):
         super().start_beats()
-        for h in self.sessions.values():
-            h.until = self.seam.now() + 0.5
+        for session in self.sessions.values():
+            session.until = self.runtime.now() + 0.5
 
 
-class LooseReads(Almanac):
-    """Whoever believes to lead answers reads from what it has."""
+class UnconfirmedReads(StoreMember):
+    """A leader answers reads without a confirmation by a majority."""
 
-    def read(self, *, k):
-        k(None if self.rank == "leader" else NotLeader(hint=self.leader))
+    def read(self, *, callback):
+        callback(None if self.election_role == "leader" else NotLeader(hint=self.leader))
 
 
-class ShortHolds(Almanac):
-    """A new leader of the store knows of no keep-alive and lets every hold go."""
+class ForgetsKeepAlives(StoreMember):
+    """A new leader of the store ignores earlier keep-alives and expires every lease."""
 
-    def take_lead(self):
-        super().take_lead()
-        self.hold_ends = {h: self.lead_t for h in self.hold_ends}
+    def start_leading(self):
+        super().start_leading()
+        self.lease_ends = {lease: self.led_since for lease in self.lease_ends}
 
 
 class NoBoots(Record):
-    """Forgets which boots a worker had and under which it left."""
+    """Forgets a worker's earlier boots and the boot under which it left."""
 
-    def ev_worker(self, st, id, boot, kind, zone, rack, room, *more):
+    def ev_worker(self, stamp, id, boot, kind, zone, rack, room, *more):
         self.gone.pop(id, None)
         if id in self.workers:
             self.workers[id].past = []
-        return super().ev_worker(st, id, boot, kind, zone, rack, room, *more)
+        return super().ev_worker(stamp, id, boot, kind, zone, rack, room, *more)
 
 
-class Ungreeted(Desk):
-    """Takes the first beat of a boot for its start, however late it comes."""
+class AcceptsLateBeats(Desk):
+    """Accepts the first heartbeat of a boot as its start, however late it arrives."""
 
-    def announce(self, *, b, h):
-        h.greeted = True
-        super().announce(b=b, h=h)
+    def register_worker(self, *, request, session):
+        session.boot_heard = True
+        super().register_worker(request=request, session=session)
 
 
-class SureOfAll(Desk):
-    """Tells 'not taken' where it only does not know."""
+class NeverUnsure(Desk):
+    """Answers that a request was not taken where it cannot know."""
 
-    async def one_turn(self, *, items, evs):
+    async def commit_batch(self, *, items, events):
         items = [(e, k and (lambda r, st, k=k: k(Leaving() if st is None else r, st))) for e, k in items]
-        return await super().one_turn(items=items, evs=evs)
+        return await super().commit_batch(items=items, events=events)
 
 
-class DeafToStops(Desk):
-    """Never tells a worker to stop what was cancelled."""
+class NeverSendsStops(Desk):
+    """Never sends workers the order to stop cancelled attempts."""
 
-    def orders(self, *, i, h):
-        return super().orders(i=i, h=h)[0], []
+    def orders(self, *, worker_id, session):
+        return super().orders(worker_id=worker_id, session=session)[0], []
 
 
-class Inventive(Record):
-    """Takes in a job that nobody sent."""
+class InventsJobs(Record):
+    """Adds jobs that nobody submitted."""
 
-    def ev_job(self, st, name, spec, digest):
+    def ev_job(self, stamp, name, spec, digest):
         if name.endswith("7"):
-            super().ev_job(st, "ghost-" + name, spec, digest)
-        return super().ev_job(st, name, spec, digest)
+            super().ev_job(stamp, "ghost-" + name, spec, digest)
+        return super().ev_job(stamp, name, spec, digest)
 
 
-class SlowToShow(Desk):
-    """Reads from a copy that lags some seconds."""
+class StaleJobReads(Desk):
+    """Hides jobs that changed in the last 6 s from reads."""
 
-    def on_read(self, *, b, k, who):
-        j = self.record.jobs.get(b["name"])
-        if j is not None and self.clock_ms() - (j.stamp >> C.LOGICAL_BITS) < 6000:
-            b = b | {"name": b["name"] + ".not-yet"}
-        super().on_read(b=b, k=k, who=who)
+    def on_read(self, *, request, callback, caller):
+        job = self.record.jobs.get(request["name"])
+        if job is not None and self.clock_ms() - (job.stamp >> constants.LOGICAL_BITS) < 6000:
+            request = request | {"name": request["name"] + ".not-yet"}
+        super().on_read(request=request, callback=callback, caller=caller)
 
 
-class NoLimitLook(Record):
-    def unfit(self, t, w, *, now):
-        why = super().unfit(t, w, now=now)
-        j = self.jobs[t.job]
+class NoLimitCheck(Record):
+    """Ignores the limits of queues in placement."""
+
+    def unfit(self, task, worker, *, now):
+        why = super().unfit(task, worker, now=now)
+        job = self.jobs[task.job]
         return (
-            self.unfit_worker(s=j.steps[t.step], sp=j.steps[t.step].spec, w=w, now=now, lane=j.lane)
+            self.unfit_worker(
+                step=job.steps[task.step],
+                spec=job.steps[task.step].spec,
+                worker=worker,
+                now=now,
+                lane=job.lane,
+            )
             if why == "limit"
             else why
         )
 
 
-class SlowEdits(Desk):
-    """Places by the charter of eight seconds ago."""
+class StaleConfigurationDesk(Desk):
+    """Places by the configuration of 8 s ago."""
 
-    def place_all(self, *, most, **kw):
-        now, new = self.seam.now(), self.record.charter
-        self.past = [x for x in getattr(self, "past", []) if now - x[0] < 8] + [(now, new)]
-        self.record.charter = new | {"rows": new["rows"] | self.past[0][1]["rows"]}
+    def place_tasks(self, *, most, **options):
+        now, configuration = self.runtime.now(), self.record.charter
+        self.past = [version for version in getattr(self, "past", []) if now - version[0] < 8] + [
+            (now, configuration)
+        ]
+        self.record.charter = configuration | {"rows": configuration["rows"] | self.past[0][1]["rows"]}
         try:
-            return super().place_all(most=most, **kw)
+            return super().place_tasks(most=most, **options)
         finally:
-            self.record.charter = new
+            self.record.charter = configuration
 
 
-class QuickForget(Record):
-    """Drops a job as soon as it has ended."""
+class ForgetsEndedJobs(Record):
+    """Keeps only a few ended jobs, instead of all for minutes."""
 
-    def job_to(self, *, j, state, st, why=""):
-        super().job_to(j=j, state=state, st=st, why=why)
-        if j.ended and len(self.ended) > 5:
-            _, n = self.ended.popleft()
-            old = self.jobs.pop(n)
-            self.names[n] = [st, old.digest, old.state]
+    def job_to(self, *, job, state, stamp, why=""):
+        super().job_to(job=job, state=state, stamp=stamp, why=why)
+        if job.ended and len(self.ended) > 5:
+            _, name = self.ended.popleft()
+            job_ended = self.jobs.pop(name)
+            self.names[name] = [stamp, job_ended.digest, job_ended.state]
 
 
-class Lame(Almanac):
-    """Waits far too long before it stands for election."""
+class SlowCampaign(StoreMember):
+    """Waits 30 s before it campaigns, except at the first start."""
 
     async def watchdog(self):
         while True:
-            await asyncio.sleep(C.WATCHDOG)
+            await asyncio.sleep(constants.LEADER_CHECK_PERIOD)
             if self.blank:
-                await self.unblank()
-            elif self.rank != "leader" and self.seam.now() - self.heard > (1.0 if self.term == 0 else 30.0):
+                await self.recover_blank()
+            elif self.election_role != "leader" and self.runtime.now() - self.election_timer_start > (
+                1.0 if self.term == 0 else 30.0
+            ):
                 await self.campaign()
 
 
-class NeverWaits(Record):
-    """Starts a lost worker's tasks elsewhere, whatever the worker said of itself."""
+class RestartsLostAtOnce(Record):
+    """Restarts a lost worker's tasks at once, even if the worker said that it keeps running them."""
 
-    def restarts(self, *, w, g):
+    def may_restart(self, *, worker, attempt):
         return True
 
 
-class Noted(Almanac):
-    """Notes every stamp as it is issued."""
+class RecordsStamps(StoreMember):
+    """Records every timestamp that is issued in the history."""
 
     abstract = False
 
-    def on_stamp(self, *, b, k, who, n=0):
-        def then(o):
-            if o.ok:
-                self.seam.world.hist.note("stamp", first=o.v["first"], n=o.v["n"])
-            k(o)
+    def on_stamp(self, *, request, callback, caller, tries=0):
+        def then(outcome):
+            if outcome.ok:
+                self.runtime.world.hist.note("stamp", first=outcome.value["first"], n=outcome.value["n"])
+            callback(outcome)
+
+        super().on_stamp(request=request, callback=callback if tries else then, caller=caller, tries=tries)
 
-        super().on_stamp(b=b, k=k if n else then, who=who, n=n)
 
+class NoLeaseCheckClock(RecordsStamps):
+    """Issues timestamps also when its lease has expired."""
 
-class ClockNoLook(Noted):
-    def clock_live(self, r):
-        return self.clk is r and r.until > 0.0
+    def clock_live(self, leadership):
+        return self.clk is leadership and leadership.lease_end > 0.0
 
 
-class NoBound(Noted):
-    """Begins at its own wall, whatever was issued before."""
+class NoBound(RecordsStamps):
+    """Starts at its own wall clock, whatever was issued before."""
 
-    async def clock_sync(self, r):
-        ms = self.seam.wall()
-        r.anchor = (ms, self.seam.now())
-        if not await self.clock_save(r=r, bound=ms + C.SAVE_MS):
+    async def clock_sync(self, leadership):
+        ms = self.runtime.wall()
+        leadership.anchor = (ms, self.runtime.now())
+        if not await self.clock_save(leadership=leadership, bound=ms + constants.BOUND_AHEAD_MS):
             return False
-        r.phys, r.logical, r.synced = ms, 0, True
+        leadership.physical, leadership.logical, leadership.synced = ms, 0, True
         return True
