--- a/hollowhall/almanac/ring.py
+++ b/hollowhall/almanac/ring.py
@@ -13,28 +13,32 @@
 from ..base.circuit import pack, unpack
 from ..base.problems import DiskDamage, DiskFailed, Raised
 
-HEAD = struct.Struct(">4sIIQQQ")  # magic, length, checksum, file seq, index, term
+FRAME_HEADER = struct.Struct(">4sIIQQQ")  # magic, length, checksum, file seq, index, term
 MAGIC = b"HHr1"
 
 
 def encode_frame(*, seq, index, term, body):
     """The bytes of a frame."""
     crc = zlib.crc32(struct.pack(">QQQ", seq, index, term) + body)
-    return HEAD.pack(MAGIC, len(body), crc, seq, index, term) + body
+    return FRAME_HEADER.pack(MAGIC, len(body), crc, seq, index, term) + body
 
 
 def decode_frame(*, buf, off, seq):
     """(body, offset of the next frame, file sequence, index) of the frame at `off`, or None if there is no
     valid one. If `seq` is None, a frame of any file sequence is valid."""
-    if off + HEAD.size > len(buf):
+    if off + FRAME_HEADER.size > len(buf):
         return None
-    magic, length, crc, found_seq, index, term = HEAD.unpack_from(buf, off)
-    if magic != MAGIC or off + HEAD.size + length > len(buf) or (seq is not None and found_seq != seq):
+    magic, length, crc, found_seq, index, term = FRAME_HEADER.unpack_from(buf, off)
+    if (
+        magic != MAGIC
+        or off + FRAME_HEADER.size + length > len(buf)
+        or (seq is not None and found_seq != seq)
+    ):
         return None
-    body = bytes(buf[off + HEAD.size : off + HEAD.size + length])
+    body = bytes(buf[off + FRAME_HEADER.size : off + FRAME_HEADER.size + length])
     if zlib.crc32(struct.pack(">QQQ", found_seq, index, term) + body) != crc:
         return None
-    return body, (off + HEAD.size + length + 7) & ~7, found_seq, index
+    return body, (off + FRAME_HEADER.size + length + 7) & ~7, found_seq, index
 
 
 class LogSegments:
@@ -127,7 +131,7 @@
         frame = decode_frame(buf=data, off=0, seq=0)
         if frame is None:
             raise Raised(DiskDamage(file="snap", at=0, why="checksum"))
-        return frame[0], frame[3], HEAD.unpack_from(data)[5]
+        return frame[0], frame[3], FRAME_HEADER.unpack_from(data)[5]
 
     async def snap(self, *, snapshot):
         """Replaces the saved snapshot atomically and frees the files that it covers."""
@@ -152,7 +156,7 @@
         drops the entries above that index before `es` are added."""
         index, term = (entries[-1][0], entries[-1][1]) if entries else (0, 0)
         body = pack({"h": hard, "e": entries} | ({} if cut is None else {"x": cut}))
-        size, end_mark_size = HEAD.size + len(body) + 16, HEAD.size + 512
+        size, end_mark_size = FRAME_HEADER.size + len(body) + 16, FRAME_HEADER.size + 512
         if size + end_mark_size > self.size:
             raise Raised(DiskFailed(file="ring", why="frame larger than a file"))
         try:
--- a/hollowhall/base/circuit.py
+++ b/hollowhall/base/circuit.py
@@ -1,6 +1,6 @@
 """RPC connections between daemons. The first frame in each direction names the protocol version, the cluster
 and the sender; a mismatch closes the connection with a typed failure. After that come requests and their
-results, each with the index and generation of a slot among the pending requests. A Link keeps one connection
+results, each with the index and generation of a slot among the pending requests. An RpcClient keeps one connection
 to one address open, in one task. CircuitDown means that the request was never sent; Unsure and Late mean
 that it may have arrived."""
 
--- a/hollowhall/base/limits.py
+++ b/hollowhall/base/limits.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Bounds:
-    """Bounds of one listener. `clients`: connections for any client; `spare`: further ones for requests with
+    """Bounds of one listener. `clients`: connections for any client; `priority`: further ones for requests with
     priority, which are workers' reports and operators' requests; `bodies`: bytes of bodies in flight, and as
     many again for requests with priority."""
 
@@ -56,7 +56,7 @@
     """The bounds of a listener whose clients are all of one kind: nearly all connections are for any client,
     the rest for answering those that are refused."""
     reserved = min(bounds.priority, max(constants.REFUSAL_CONNECTIONS, bounds.priority // 4))
-    return replace(bounds, clients=bounds.clients + bounds.priority - reserved, spare=reserved)
+    return replace(bounds, clients=bounds.clients + bounds.priority - reserved, priority=reserved)
 
 
 def client_limits(*, settings, limits):
--- a/hollowhall/base/seam.py
+++ b/hollowhall/base/seam.py
@@ -1,4 +1,4 @@
-"""The runtime of a daemon: clock, random numbers, network and disk. Daemons use these only through a Seam, so
+"""The runtime of a daemon: clock, random numbers, network and disk. Daemons use these only through a Runtime, so
 the same code runs on real sockets here and in the seeded simulation (hollowhall/sim). `now` includes time
 spent suspended, so that a machine that was suspended finds its leases expired; `wall` is read by the clock
 service only."""
--- a/hollowhall/record/kinds.py
+++ b/hollowhall/record/kinds.py
@@ -1,6 +1,6 @@
 """The types of the record and their states. A job is open, then ending (it failed or was
 cancelled and attempts still run), then done, failed or cancelled. A task is waiting for
-earlier steps, ready, running, then done, failed or stopped. An attempt (Leg) is one start of a
+earlier steps, ready, running, then done, failed or stopped. An attempt is one start of a
 task; its run is the stamp that granted it. A worker is up or leaving, or lost with attempts
 that may still be running, until it is heard again, registers again or is declared gone."""
 
--- a/hollowhall/tools/measure/sick_fleet.py
+++ b/hollowhall/tools/measure/sick_fleet.py
@@ -44,7 +44,7 @@
         self.record.apply_entry(op="edit", d={"base": 1, "rows": rows, "whole": True})
 
     def say(self, e, **kw):
-        self.said.append((self.t, e.no, kw))
+        self.said.append((self.t, e.number, kw))
 
     def live(self):
         return True
--- a/tests/test_bootstrap.py
+++ b/tests/test_bootstrap.py
@@ -16,7 +16,7 @@
 def play_first_start(lost, *, seed, after_s, power=False, disk=False):
     """Kills the seeds `lost` `after_s` after the first start, optionally with power or disk, and restarts
     them: (configuration version or None, seeds that count at the end)."""
-    world, seen = ControllerWorld(seed=seed, n=3), {}
+    world, seen = ControllerWorld(seed=seed, count=3), {}
 
     async def scenario():
         world.start_all()
--- a/tests/test_control_power.py
+++ b/tests/test_control_power.py
@@ -57,7 +57,7 @@
 
 
 def test_one_of_an_even_number_is_taken_out_before_it_ends():
-    world = ControllerWorld(seed=4, n=3)
+    world = ControllerWorld(seed=4, count=3)
 
     async def go():
         world.start_all()
--- a/tests/test_hall.py
+++ b/tests/test_hall.py
@@ -82,7 +82,7 @@
 
 @pytest.mark.parametrize("count", [3, 5])
 def test_three_bootstrap_and_the_others_join(count):
-    world = ControllerWorld(seed=count, n=count)
+    world = ControllerWorld(seed=count, count=count)
 
     async def go():
         world.start_all()
@@ -115,7 +115,7 @@
 
 @pytest.mark.parametrize("count, leader", [(3, True), (3, False), (5, True)])
 def test_a_lost_member_is_replaced_by_an_empty_one(count, leader):
-    world = ControllerWorld(seed=7 + count, n=count)
+    world = ControllerWorld(seed=7 + count, count=count)
 
     async def go():
         world.start_all()
@@ -145,7 +145,7 @@
 
 
 def test_an_empty_replica_of_a_known_member_votes_only_above_its_minimum_term():
-    world = ControllerWorld(seed=3, n=3)
+    world = ControllerWorld(seed=3, count=3)
 
     async def go():
         world.start_all()
@@ -169,7 +169,7 @@
 
 
 def test_a_member_that_is_cut_off_answers_no_polls():
-    world = ControllerWorld(seed=4, n=3)
+    world = ControllerWorld(seed=4, count=3)
 
     async def go():
         world.start_all()
@@ -196,7 +196,7 @@
 @pytest.mark.parametrize("seed", [2, 5, 8, 13, 14])
 def test_a_primary_that_cannot_read_the_record_lets_its_lease_go(seed):
     # a fault made it take the lease again at once, every 3 s for ever (under all these seeds but 5)
-    world = ControllerWorld(seed=seed, n=3)
+    world = ControllerWorld(seed=seed, count=3)
 
     async def go():
         world.start_all()
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -9,7 +9,7 @@
 
 
 def test_a_handshake_without_answer_closes_its_connection():
-    world = ControllerWorld(seed=1, n=3)
+    world = ControllerWorld(seed=1, count=3)
 
     async def go():
         world.start_all()
--- a/tests/test_members_replaced.py
+++ b/tests/test_members_replaced.py
@@ -29,7 +29,7 @@
 
 
 def test_of_nine_voters_one_gone_for_good_is_replaced():
-    world = ControllerWorld(seed=9, n=9)
+    world = ControllerWorld(seed=9, count=9)
 
     async def scenario():
         world.start_all()
@@ -58,7 +58,7 @@
 
 
 def test_of_nine_after_a_replacement_a_wiped_one_counts_again():
-    world = ControllerWorld(seed=9, n=9)
+    world = ControllerWorld(seed=9, count=9)
 
     async def scenario():
         world.start_all()
@@ -82,7 +82,7 @@
 
 def test_of_five_one_wiped_while_one_is_down_and_then_a_third():
     """Two members may be down at once. One that came back with an empty disk 8 s ago is up again."""
-    world = ControllerWorld(seed=5, n=5)
+    world = ControllerWorld(seed=5, count=5)
 
     async def scenario():
         world.start_all()
@@ -108,7 +108,7 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_of_three_one_replaced_and_then_another_loses_its_disk(seed):
     """The new member has been up for syncS (4 s), so one more may be lost, with its disk."""
-    world = ControllerWorld(seed=seed, n=3)
+    world = ControllerWorld(seed=seed, count=3)
 
     async def scenario():
         await lose_one_and_add_another(world, leads=True, wait=0.6)
@@ -132,7 +132,7 @@
 
 @pytest.mark.parametrize("ms", [0, 20, 40, 60, 80, 100, 120, 140, 160, 180, 200, 250, 300])
 def test_a_newcomer_killed_while_it_is_let_in_does_not_stop_the_store(ms):
-    world = ControllerWorld(seed=ms, n=3)
+    world = ControllerWorld(seed=ms, count=3)
 
     async def scenario():
         await lose_one_and_add_another(world, leads=False, wait=1.0)
@@ -164,7 +164,7 @@
 
 @pytest.mark.parametrize("ms", range(200, 5000, 400))
 def test_a_newcomer_that_loses_its_disk_at_once_does_not_stop_the_store(ms):
-    world = ControllerWorld(seed=ms, n=3)
+    world = ControllerWorld(seed=ms, count=3)
 
     async def scenario():
         await lose_one_and_add_another(world, leads=True, wait=1.0)
--- a/tests/test_older_data.py
+++ b/tests/test_older_data.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from hollowhall.almanac.ring import Ring
+from hollowhall.almanac.ring import LogSegments
 from hollowhall.base.circuit import unpack
 from hollowhall.base.params import check
 from hollowhall.base.seam import Disk
@@ -55,7 +55,9 @@
 def test_an_older_members_folder_gives_the_same_record(member, tmp_path):
     for name, content in contents(member).items():
         (tmp_path / name).write_bytes(content)
-    record, hard, last = replayed(Ring(disk=Disk(folder=str(tmp_path)), files=LOG_FILES, size=LOG_BYTES))
+    record, hard, last = replayed(
+        LogSegments(disk=Disk(folder=str(tmp_path)), files=LOG_FILES, size=LOG_BYTES)
+    )
     seen = RECORDED["members"][member]["seen"]
     assert (record.digest(), record.sum, record.level) == (seen["digest"], seen["sum"], seen["level"])
     assert (hard["t"], last, record.charter["version"]) == (seen["term"], seen["last"], seen["configuration"])
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -29,7 +29,7 @@
         self.open_place()
 
     def say(self, event, **fields):
-        self.said.append((event.no, fields))
+        self.said.append((event.number, fields))
 
     def queue_event(self, *, event, callback=None, size=64):
         self.events.append(event)
--- a/tests/test_platform_program.py
+++ b/tests/test_platform_program.py
@@ -18,9 +18,9 @@
 import sys
 sys.path[0] = "platform"
 import serve, boot, platform, aiohttp     # serve first: it adds the root to the path
-from hollowhall.base.seam import Seam
+from hollowhall.base.seam import Runtime
 d = boot.read_settings(path=sys.argv[1])
-x, doors = serve.make(role=sys.argv[2], d=d, seam=Seam(folder=sys.argv[3]))
+x, doors = serve.make(role=sys.argv[2], d=d, runtime=Runtime(folder=sys.argv[3]))
 print(platform.python_version(), x.role, len(doors))
 """
 ADDRS = {"control": "10.0.0.1:8144", "front": "10.0.0.1:8149", "readiness": "10.0.0.1:8141"}
@@ -52,7 +52,7 @@
         )
         applied, logged = [], []
         program.daemon.apply_settings = applied.append
-        program.daemon.say = lambda event, **kw: logged.append((event.no, kw))
+        program.daemon.say = lambda event, **kw: logged.append((event.number, kw))
         before = program.settings_stamp()
         write(tmp_path, settings | {"zone": "another"})
         os.utime(settings_file, (1, 1))
--- a/tests/test_reported_ends.py
+++ b/tests/test_reported_ends.py
@@ -45,7 +45,7 @@
         return int(self.time_s * 1000)
 
     def say(self, event, **fields):
-        self.said.append((event.no, fields))
+        self.said.append((event.number, fields))
 
     def do_nothing(self, **_):
         pass
--- a/tests/test_reserving.py
+++ b/tests/test_reserving.py
@@ -29,7 +29,7 @@
         return self.ms
 
     def say(self, event, **fields):
-        self.said.append((event.no, fields))
+        self.said.append((event.number, fields))
 
     def job(self, name, lane, tasks=1, *, gpus=1, **kw):
         job = {key: kw.pop(key) for key in ("standing",) if key in kw}
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -12,7 +12,7 @@
 
 def gap(*, seed, halls, how):
     """Seconds of virtual time until another scheduler is primary, after the primary's machine falls silent."""
-    world, out = ControllerWorld(seed=seed, n=halls), {}
+    world, out = ControllerWorld(seed=seed, count=halls), {}
 
     async def go():
         world.start_all()
