--- a/tests/test_limits_process.py
+++ b/tests/test_limits_process.py
@@ -18,7 +18,7 @@
 FILL_RECORD = """
 import asyncio, pathlib, sys, time
 from hollowhall.hall import Hall
-from hollowhall.almanac.ring import open_frame, seal
+from hollowhall.almanac.ring import decode_frame, encode_frame
 from hollowhall.base.circuit import pack, unpack
 from hollowhall.base.limits import record_bytes
 from hollowhall.base.params import check
@@ -39,9 +39,9 @@
     record.ev_job(count << 18, f"job-{count}", unpack(body), digest)
 resident = [int(x.split()[1]) for x in open("/proc/self/status") if x.startswith("VmRSS")][0]
 snapshot, _ = asyncio.run(record.picture(spend=lambda s: None, now=time.monotonic))
-frame = seal(seq=0, index=1, term=1, body=pack({"record": snapshot}))
+frame = encode_frame(seq=0, index=1, term=1, body=pack({"record": snapshot}))
 del snapshot
-snapshot = unpack(open_frame(buf=frame, off=0, seq=0)[0])["record"]
+snapshot = unpack(decode_frame(buf=frame, off=0, seq=0)[0])["record"]
 record.load(snapshot)
 print(len(record.jobs), resident // 1024, *[int(x.split()[1]) // 1024 for x in open("/proc/self/status")
                                             if x.startswith("VmHWM")])
