--- a/hollowhall/sim/world.py
+++ b/hollowhall/sim/world.py
@@ -219,7 +219,7 @@
         names = []
         for name, node in self.nodes.items():
             if self.cards[name]["role"] == role and hasattr(
-                node.daemon, "rank" if role == "almanac" else "part"
+                node.daemon, "election_role" if role == "almanac" else "part"
             ):
                 state = node.daemon.election_role if role == "almanac" else node.daemon.part
                 if state == part:
--- a/tests/test_control_answers.py
+++ b/tests/test_control_answers.py
@@ -156,7 +156,7 @@
     desk, departures = beating_desk(), []
     desk.record.do(["leave", "w0", "1"])
     desk.sessions["w0"].leave_requested = True  # its last beat said so
-    desk.take_ends = lambda *, request, session, worker: departures.append(request["bye"])
+    desk.take_report = lambda *, request, session, worker: departures.append(request["bye"])
     desk.read_report = lambda *, request, session, worker: []
     desk.answer_beat = lambda *, worker_id, session: None
     try:
@@ -250,7 +250,7 @@
 
     def __init__(self, **more):
         super().__init__(**more)
-        self.pending_requests = ByPosition(cap=8)
+        self.pending_requests = ByPosition(capacity=8)
 
 
 def test_an_answer_matched_by_position_reaches_the_wrong_caller():
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -40,8 +40,8 @@
             op=op, request={name: value for name, value in request.items() if name != "level"}, **kw
         )
 
-    async def near(self, *, op, request, **kw):
-        return await super().near(
+    async def ask_any_member(self, *, op, request, **kw):
+        return await super().ask_any_member(
             op=op, request={name: value for name, value in request.items() if name != "level"}, **kw
         )
 
--- a/tests/test_model_mends.py
+++ b/tests/test_model_mends.py
@@ -207,7 +207,7 @@
     now = run.replica(A).runtime.now()
     run.replica(A).serve(op="keep", request={"hold": lease}, caller="primary", callback=kept.append)
     run.append(A, B, times=1)
-    assert kept[0].ok and lease not in run.replica(B).keys.holds, "A confirms, and B lacks the lease"
+    assert kept[0].ok and lease not in run.replica(B).keys.leases, "A confirms, and B lacks the lease"
     run.play("power", A, False, False)
     run.elect(C, B)
     ends = run.replica(C).lease_ends[lease]
