--- a/tests/test_platform_herds.py
+++ b/tests/test_platform_herds.py
@@ -190,7 +190,7 @@
     """A store in which nobody stands for election again once a leader was lost."""
 
     async def campaign(self, **kw):
-        return await CAMPAIGN(self, **kw) if self.runtime.now() - self.born < 3.0 else None
+        return await CAMPAIGN(self, **kw) if self.runtime.now() - self.started_at < 3.0 else None
 
     monkeypatch.setattr(StoreMember, "campaign", campaign)
     w, _, _ = play(slow_machine("primary", times=100.0), cpu=True, seed=2, seconds=16.0)
@@ -200,7 +200,7 @@
 def test_a_store_that_waits_for_all_its_members_is_seen(monkeypatch):
     """Under most seeds; few submissions meet it on some days, and losses may hide it."""
     usual_by_seed = {seed: usual(seed) for seed in (2, 6, 9)}
-    monkeypatch.setattr(StoreMember, "most", lambda self: len(self.voters))
+    monkeypatch.setattr(StoreMember, "majority", lambda self: len(self.voters))
 
     def seen(seed):
         w, _, _ = play(slow_machine("follower"), cpu=True, seed=seed)
