--- a/tests/weak.py
+++ b/tests/weak.py
@@ -189,7 +189,9 @@
 
     async def follow_charter(self):
         while True:
-            outcome = await self.near(op="charter", request={"version": self.charter["version"]}, wait=6.0)
+            outcome = await self.ask_any_member(
+                op="charter", request={"version": self.charter["version"]}, wait=6.0
+            )
             await asyncio.sleep(3.0 * self.runtime.rng.random())
             if outcome.ok and outcome.value is not None:
                 self.charter = outcome.value
