--- a/tests/test_pace_silence.py
+++ b/tests/test_pace_silence.py
@@ -3,7 +3,7 @@
 is back. A gang that runs across racks must not be taken for a slow one either."""
 
 from test_level_two import step
-from test_pace import Desk, busy, made, runs
+from test_pace import Desk, busy, record_with_job, runs
 
 from hollowhall.desk.health import SOUND
 
@@ -48,7 +48,9 @@
 
 
 def test_a_gang_across_racks_does_not_lengthen_what_its_queue_is_taken_to_need():
-    desk = Desk(made(steps=[step(tasks=2, gang=True, tight=True, room={"cores": 8000})], workers=2))
+    desk = Desk(
+        record_with_job(steps=[step(tasks=2, gang=True, tight=True, room={"cores": 8000})], workers=2)
+    )
     desk.record.do(["gang", "j", "0.0", ["w0", "w1"]])
     first = desk.record.attempts[runs(desk.record)[0]]
     assert desk.stretch(first) == desk.settings.far_times
